--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/QuietEvents.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/QuietEvents.java
@@ -1,16 +1,16 @@
 package org.apricotstack.core.fleet;
 
 import org.apricotstack.core.configuration.LengthClass;
-import org.apricotstack.core.entry.EntryEvents;
+import org.apricotstack.core.entry.EntryMetrics;
 import org.apricotstack.core.failure.Refusal;
 import org.apricotstack.core.failure.RefusalReason;
-import org.apricotstack.core.owner.OwnerEvents;
+import org.apricotstack.core.owner.OwnerMetrics;
 import org.apricotstack.core.retry.RetryReason;
 import org.apricotstack.core.routing.GroupChoice;
 import org.apricotstack.core.stream.StreamVerdict;
 
 /** Counters that count nothing. */
-public class QuietEvents implements EntryEvents, OwnerEvents {
+public class QuietEvents implements EntryMetrics, OwnerMetrics {
 
     @Override
     public void requestRefused(Refusal refusal) {}
@@ -46,5 +46,5 @@
     public void memoryReleased() {}
 
     @Override
-    public void orderGiven(boolean taken) {}
+    public void orderSent(boolean taken) {}
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
@@ -46,7 +46,7 @@
     @Test
     void tellsDemandOnce() {
         limiter.admit(ACCOUNT, ORDINARY, 7);
-        assertThat(limiter.takeDemand()).containsEntry(ACCOUNT.id(), 7L);
-        assertThat(limiter.takeDemand()).isEmpty();
+        assertThat(limiter.drainDemand()).containsEntry(ACCOUNT.id(), 7L);
+        assertThat(limiter.drainDemand()).isEmpty();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitHomeTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitHomeTest.java
@@ -34,7 +34,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void neverLendsMoreThanTheLimit(long seed) {
         Random random = new Random(seed);
-        LimitHome home = new LimitHome(clock);
+        LimitLeaseIssuer home = new LimitLeaseIssuer(clock);
         List<LeasedLimitShares> holders = new ArrayList<>();
         for (int i = 0; i < ROUTERS; i++) {
             holders.add(new LeasedLimitShares(() -> ROUTERS, clock));
@@ -48,16 +48,16 @@
             }
             int router = random.nextInt(ROUTERS);
             LeasedLimitShares holder = holders.get(router);
-            long asked = holder.asked(ACCOUNT);
+            long asked = holder.leaseRequested(ACCOUNT);
             clock.advanceMillis(random.nextInt(30));
             boolean reached = router >= cutOff && random.nextInt(10) > 0;
             if (reached) {
                 // The home notices the cut before a cut-off router falls back to its equal part.
                 double visible = (double) (ROUTERS - cutOff) / ROUTERS;
-                holder.grant(
+                holder.leaseGranted(
                         ACCOUNT, home.lease(ACCOUNT, new HostId("r" + router), random.nextDouble(), visible), asked);
             }
-            boolean settled = step < 699 || clock.millis() - cutAt > 2 * LimitHome.LEASE_MILLIS;
+            boolean settled = step < 699 || clock.millis() - cutAt > 2 * LimitLeaseIssuer.LEASE_MILLIS;
             double sum = holders.stream().mapToDouble(h -> h.share(ACCOUNT)).sum();
             if (settled) {
                 assertThat(sum).as("step %d", step).isLessThanOrEqualTo(1 + 1e-9);
@@ -67,13 +67,13 @@
 
     @Test
     void lendsNearlyAllToTheOnlyRouterWithTraffic() {
-        double share = new LimitHome(clock).lease(ACCOUNT, new HostId("r0"), 1, 1);
-        assertThat(share).isEqualTo(1 - LimitHome.EQUAL_PART);
+        double share = new LimitLeaseIssuer(clock).lease(ACCOUNT, new HostId("r0"), 1, 1);
+        assertThat(share).isEqualTo(1 - LimitLeaseIssuer.EQUAL_PART);
     }
 
     @Test
     void sharesByNeedOnceLeasesWereRenewed() {
-        LimitHome home = new LimitHome(clock);
+        LimitLeaseIssuer home = new LimitLeaseIssuer(clock);
         double a = 0;
         double b = 0;
         for (int round = 0; round < 8; round++) {
@@ -88,11 +88,11 @@
     @Test
     void fallsBackToAnEqualPartWhenTheHomeIsSilent() {
         LeasedLimitShares shares = new LeasedLimitShares(() -> ROUTERS, clock);
-        shares.grant(ACCOUNT, 0.5, shares.asked(ACCOUNT));
+        shares.leaseGranted(ACCOUNT, 0.5, shares.leaseRequested(ACCOUNT));
         assertThat(shares.share(ACCOUNT)).isCloseTo(0.5 + 0.25 / ROUTERS, within(1e-9));
-        clock.advanceMillis(LimitHome.LEASE_MILLIS);
+        clock.advanceMillis(LimitLeaseIssuer.LEASE_MILLIS);
         assertThat(shares.share(ACCOUNT)).isCloseTo(0.25 / ROUTERS, within(1e-9));
-        clock.advanceMillis(LimitHome.LEASE_MILLIS);
+        clock.advanceMillis(LimitLeaseIssuer.LEASE_MILLIS);
         assertThat(shares.share(ACCOUNT)).isCloseTo(1.0 / ROUTERS, within(1e-9));
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/MembershipTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/MembershipTableTest.java
@@ -45,7 +45,7 @@
 
     @Test
     void contradictsASuspicionOfItself() {
-        table.hear(new MemberRecord(SELF.host(), 5, 0, MemberState.SUSPECT), 0);
+        table.merge(new MemberRecord(SELF.host(), 5, 0, MemberState.SUSPECT), 0);
         assertThat(table.gossip(8)).contains(new MemberRecord(SELF.host(), 5, 1, MemberState.ALIVE));
     }
 
@@ -57,32 +57,32 @@
     @Test
     void knowsThatItWasReplaced() {
         assertThat(table.isReplaced()).isFalse();
-        table.hear(new MemberRecord(SELF.host(), 6, 0, MemberState.ALIVE), 0);
+        table.merge(new MemberRecord(SELF.host(), 6, 0, MemberState.ALIVE), 0);
         assertThat(table.isReplaced()).isTrue();
     }
 
     @Test
     void turnsSuspicionIntoDeathAndARestartIntoLife() {
-        table.heardFrom(new ProcessId(OTHER, 1), 0);
+        table.recordAlive(new ProcessId(OTHER, 1), 0);
         table.suspect(OTHER, 100);
         assertThat(table.expireSuspicions(1_099)).isEmpty();
         assertThat(table.expireSuspicions(1_100)).isEqualTo(List.of(OTHER));
         assertThat(table.state(OTHER)).isEqualTo(MemberState.DEAD);
-        table.heardFrom(new ProcessId(OTHER, 2), 1_200);
+        table.recordAlive(new ProcessId(OTHER, 2), 1_200);
         assertThat(table.state(OTHER)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
     void keepsLeavingAnnouncedThroughARefutation() {
         table.announce(MemberState.LEAVING, 0);
-        table.hear(new MemberRecord(SELF.host(), 5, 0, MemberState.DEAD), 0);
+        table.merge(new MemberRecord(SELF.host(), 5, 0, MemberState.DEAD), 0);
         assertThat(table.gossip(8)).contains(new MemberRecord(SELF.host(), 5, 1, MemberState.LEAVING));
     }
 
     @Test
     void boundsWhatAMessageCarriesAndSendsAllExceptionsInTurn() {
         for (int i = 0; i < 40; i++) {
-            table.hear(new MemberRecord(new HostId("h" + i), 1, 0, MemberState.DEAD), 0);
+            table.merge(new MemberRecord(new HostId("h" + i), 1, 0, MemberState.DEAD), 0);
         }
         Set<HostId> sent = new HashSet<>();
         for (int i = 0; i < 200; i++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
@@ -32,22 +32,22 @@
      */
     @Test
     void countsARouterOnlyWhenItSaidThatItServes() {
-        serving.hear(new ProcessId(OTHER, 7), false);
+        serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 7)).isFalse();
-        serving.hear(new ProcessId(OTHER, 7), true);
+        serving.recordStatus(new ProcessId(OTHER, 7), true);
         assertThat(serving.serves(OTHER, 7)).isTrue();
     }
 
     @Test
     void takesTheWordBackWhenTheHostStartsAgain() {
-        serving.hear(new ProcessId(OTHER, 7), true);
+        serving.recordStatus(new ProcessId(OTHER, 7), true);
         assertThat(serving.serves(OTHER, 8)).isFalse();
     }
 
     @Test
     void ignoresTheLateWordOfAnEarlierProcess() {
-        serving.hear(new ProcessId(OTHER, 8), true);
-        serving.hear(new ProcessId(OTHER, 7), false);
+        serving.recordStatus(new ProcessId(OTHER, 8), true);
+        serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 8)).isTrue();
     }
 
@@ -59,10 +59,10 @@
             routers.put(host, new RosterHost(host, new DataCentreId("dc-a"), ANYWHERE, ANYWHERE, false));
         }
         MemberView view = MemberView.of(1, new Roster(1, routers, Set.of()), table);
-        serving.hear(new ProcessId(OTHER, 1), true);
+        serving.recordStatus(new ProcessId(OTHER, 1), true);
         Set<HostId> asked = new HashSet<>();
         for (int turn = 0; turn < 2; turn++) {
-            List<RosterHost> picked = serving.unheard(view, table, turn, 4);
+            List<RosterHost> picked = serving.unconfirmed(view, table, turn, 4);
             picked.forEach(host -> asked.add(host.id()));
         }
         assertThat(asked).hasSize(8).doesNotContain(OTHER);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedBackOffTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedBackOffTest.java
@@ -30,24 +30,24 @@
                 "soon;2|2000"
             })
     void readsSeconds(String values, long expectedMillis) {
-        assertThat(StatedBackOff.parse(Arrays.asList(values.split(";", -1))))
-                .isEqualTo(new StatedBackOff(StatedBackOff.Kind.STATED, expectedMillis));
+        assertThat(AdvertisedBackOff.parse(Arrays.asList(values.split(";", -1))))
+                .isEqualTo(new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, expectedMillis));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "0.0", "0e5"})
     void readsNoTimeAsNone(String value) {
-        assertThat(StatedBackOff.parse(List.of(value))).isEqualTo(StatedBackOff.ABSENT);
+        assertThat(AdvertisedBackOff.parse(List.of(value))).isEqualTo(AdvertisedBackOff.ABSENT);
     }
 
     @Test
     void readsAMissingFieldAsNone() {
-        assertThat(StatedBackOff.parse(List.of())).isEqualTo(StatedBackOff.ABSENT);
+        assertThat(AdvertisedBackOff.parse(List.of())).isEqualTo(AdvertisedBackOff.ABSENT);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-1", "soon", "3 s", "NaN", "true", "Thu, 03 Dec 2026 10:00:00 GMT"})
     void readsWhatIsNoTimeInSecondsAsNeither(String value) {
-        assertThat(StatedBackOff.parse(List.of(value))).isEqualTo(StatedBackOff.UNREADABLE);
+        assertThat(AdvertisedBackOff.parse(List.of(value))).isEqualTo(AdvertisedBackOff.UNREADABLE);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedDrainTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedDrainTest.java
@@ -35,16 +35,16 @@
                 "soon;0|SERVING",
                 "0,1|DRAINING"
             })
-    void readsEachValue(String values, StatedDrain expected) {
-        assertThat(StatedDrain.parse(Arrays.asList(values.split(";", -1)), true))
+    void readsEachValue(String values, AdvertisedDrain expected) {
+        assertThat(AdvertisedDrain.parse(Arrays.asList(values.split(";", -1)), true))
                 .isEqualTo(expected);
-        assertThat(StatedDrain.parse(Arrays.asList(values.split(";", -1)), false))
+        assertThat(AdvertisedDrain.parse(Arrays.asList(values.split(";", -1)), false))
                 .isEqualTo(expected);
     }
 
     @Test
     void takesAMissingFieldForServingOnlyInTheUpstreamsOwnAnswer() {
-        assertThat(StatedDrain.parse(List.of(), true)).isEqualTo(StatedDrain.SERVING);
-        assertThat(StatedDrain.parse(List.of(), false)).isEqualTo(StatedDrain.ABSENT);
+        assertThat(AdvertisedDrain.parse(List.of(), true)).isEqualTo(AdvertisedDrain.SERVING);
+        assertThat(AdvertisedDrain.parse(List.of(), false)).isEqualTo(AdvertisedDrain.ABSENT);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
@@ -26,7 +26,7 @@
     })
     void releasesOnlyWhatNobodyNeeds(long ageMillis, long limitMillis, long owner, boolean expected) {
         MembershipTable members = new MembershipTable(new ProcessId(new HostId("self"), 1), 1_000);
-        members.heardFrom(new ProcessId(new HostId("other"), 5), 0);
+        members.recordAlive(new ProcessId(new HostId("other"), 5), 0);
         HeldStream held = new HeldStream("r~1", new ProcessId(new HostId("other"), owner), ageMillis, limitMillis);
         assertThat(ReleaseRule.mayRelease(held, members)).isEqualTo(expected);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/CatchUpTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/CatchUpTest.java
@@ -10,7 +10,7 @@
 
 class CatchUpTest {
 
-    private final CatchUp catchUp = new CatchUp();
+    private final PeerFetchPolicy catchUp = new PeerFetchPolicy();
 
     private static Peer peer(String host, long configuration, long upstreams) {
         Address address = new Address("127.0.0.1", 1);
@@ -36,42 +36,48 @@
      */
     @Test
     void staysBehindThoughAnotherPeerKnowsNoMore() {
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 24, 7, CatchUp.BEHIND_MILLIS, 0))
+        assertThat(catchUp.shouldFetch(peer("ahead", 25, 7), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 0))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("equal", 24, 7), 24, 7, CatchUp.BEHIND_MILLIS, 100))
+        assertThat(catchUp.shouldFetch(peer("equal", 24, 7), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 100))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("equal", 24, 7), 24, 7, CatchUp.BEHIND_MILLIS, 300))
+        assertThat(catchUp.shouldFetch(peer("equal", 24, 7), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 300))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 24, 7, CatchUp.BEHIND_MILLIS, 500))
+        assertThat(catchUp.shouldFetch(peer("ahead", 25, 7), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 500))
                 .isTrue();
     }
 
     @Test
     void leavesThePlatformTheTimeToTell() {
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 24, 7, CatchUp.BEHIND_MILLIS, 0))
+        assertThat(catchUp.shouldFetch(peer("ahead", 25, 7), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 0))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 25, 7, CatchUp.BEHIND_MILLIS, 500))
+        assertThat(catchUp.shouldFetch(peer("ahead", 25, 7), 25, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 500))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 26, 7), 25, 7, CatchUp.BEHIND_MILLIS, 600))
+        assertThat(catchUp.shouldFetch(peer("ahead", 26, 7), 25, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 600))
                 .isFalse();
     }
 
     @Test
     void asksAtOnceIfItKnowsNothingAndThenNotTooOften() {
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 0, 0, CatchUp.BEHIND_MILLIS, 0))
+        assertThat(catchUp.shouldFetch(peer("ahead", 25, 7), 0, 0, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 0))
                 .isTrue();
-        catchUp.asked(0);
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 0, 0, CatchUp.BEHIND_MILLIS, CatchUp.ASK_MILLIS - 1))
+        catchUp.fetchStarted(0);
+        assertThat(catchUp.shouldFetch(
+                        peer("ahead", 25, 7),
+                        0,
+                        0,
+                        PeerFetchPolicy.PLATFORM_GRACE_MILLIS,
+                        PeerFetchPolicy.ASK_MILLIS - 1))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 25, 7), 0, 0, CatchUp.BEHIND_MILLIS, CatchUp.ASK_MILLIS))
+        assertThat(catchUp.shouldFetch(
+                        peer("ahead", 25, 7), 0, 0, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, PeerFetchPolicy.ASK_MILLIS))
                 .isTrue();
     }
 
     @Test
     void asksForUpstreamsToo() {
-        assertThat(catchUp.shouldAsk(peer("ahead", 24, 9), 24, 7, CatchUp.BEHIND_MILLIS, 0))
+        assertThat(catchUp.shouldFetch(peer("ahead", 24, 9), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 0))
                 .isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 24, 9), 24, 7, CatchUp.BEHIND_MILLIS, 500))
+        assertThat(catchUp.shouldFetch(peer("ahead", 24, 9), 24, 7, PeerFetchPolicy.PLATFORM_GRACE_MILLIS, 500))
                 .isTrue();
     }
 
@@ -82,8 +88,10 @@
      */
     @Test
     void asksLaterWhereThePlatformIsReadMoreSeldom() {
-        assertThat(catchUp.shouldAsk(peer("ahead", 24, 9), 24, 7, 1_200, 0)).isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 24, 9), 24, 7, 1_200, 1_100)).isFalse();
-        assertThat(catchUp.shouldAsk(peer("ahead", 24, 9), 24, 7, 1_200, 1_200)).isTrue();
+        assertThat(catchUp.shouldFetch(peer("ahead", 24, 9), 24, 7, 1_200, 0)).isFalse();
+        assertThat(catchUp.shouldFetch(peer("ahead", 24, 9), 24, 7, 1_200, 1_100))
+                .isFalse();
+        assertThat(catchUp.shouldFetch(peer("ahead", 24, 9), 24, 7, 1_200, 1_200))
+                .isTrue();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
@@ -44,9 +44,9 @@
 
     @Test
     void namesTheOwnDataCentreWhileTwoAreThere() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
-        table.heartbeat(peer(2, 1, EAST, true), 0);
-        table.heartbeat(peer(3, 1, WEST, true), 0);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
+        table.recordHeartbeat(peer(2, 1, EAST, true), 0);
+        table.recordHeartbeat(peer(3, 1, WEST, true), 0);
         assertThat(named(EAST, 0)).containsExactly("127.0.0.1", "127.0.0.2");
         assertThat(named(WEST, 0)).containsExactly("127.0.0.1", "127.0.0.2", "127.0.0.3");
         assertThat(named(null, 0)).hasSize(3);
@@ -54,18 +54,18 @@
 
     @Test
     void countsRoutersThatFellSilentAndNotThoseThatSaidThatTheyStop() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
-        table.heartbeat(peer(2, 1, EAST, false), 0);
-        table.heartbeat(peer(3, 1, EAST, true), 1_000);
-        assertThat(table.silentDeciding(0)).isZero();
-        assertThat(table.silentDeciding(PeerTable.SUSPECT_MILLIS)).isEqualTo(1);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
+        table.recordHeartbeat(peer(2, 1, EAST, false), 0);
+        table.recordHeartbeat(peer(3, 1, EAST, true), 1_000);
+        assertThat(table.silentEntryRouterCount(0)).isZero();
+        assertThat(table.silentEntryRouterCount(PeerTable.SUSPECT_MILLIS)).isEqualTo(1);
     }
 
     @Test
     void namesNeitherSilentRoutersNorThoseThatAreNotReady() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
-        table.heartbeat(peer(2, 1, EAST, true), 1_000);
-        table.heartbeat(peer(3, 1, EAST, false), 1_000);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
+        table.recordHeartbeat(peer(2, 1, EAST, true), 1_000);
+        table.recordHeartbeat(peer(3, 1, EAST, false), 1_000);
         assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.2");
     }
 
@@ -75,15 +75,15 @@
      */
     @Test
     void takesARestartedRouterWhateverItsTimeOfDay() {
-        table.heartbeat(peer(1, 500, EAST, true), 0);
-        ProcessId before = table.heartbeat(peer(1, 400, EAST, true), 5_000);
+        table.recordHeartbeat(peer(1, 500, EAST, true), 0);
+        ProcessId before = table.recordHeartbeat(peer(1, 400, EAST, true), 5_000);
         assertThat(before.incarnation()).isEqualTo(500);
         assertThat(named(EAST, 5_000)).containsExactly("127.0.0.1");
     }
 
     @Test
     void givesUpPlacementsLaterThanTheName() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         assertThat(table.expire(PeerTable.SUSPECT_MILLIS)).isEmpty();
         assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).hasSize(1);
         assertThat(table.addresses()).hasSize(1);
@@ -93,11 +93,11 @@
 
     @Test
     void suspectsARouterWhoseConnectionEndedUntilItIsHeard() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
-        table.unreachable(new Address("127.0.0.1", 90), 10);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
+        table.connectionLost(new Address("127.0.0.1", 90), 10);
         assertThat(named(EAST, 10)).isEmpty();
         assertThat(table.expire(10)).isEmpty();
-        table.heartbeat(peer(1, 1, EAST, true), 20);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 20);
         assertThat(named(EAST, 20)).hasSize(1);
     }
 
@@ -107,7 +107,7 @@
      */
     @Test
     void waitsLongerForHeartbeatsThatAreSeldom() {
-        table.heartbeat(peer(1, 1, EAST, true, 1_200), 0);
+        table.recordHeartbeat(peer(1, 1, EAST, true, 1_200), 0);
         assertThat(named(EAST, 3_000)).hasSize(1);
         assertThat(named(EAST, 3_200)).isEmpty();
     }
@@ -119,7 +119,7 @@
      */
     @Test
     void keepsThePlacementsOfARouterThatTellsSeldomThatItIsThere() {
-        table.heartbeat(peer(1, 1, EAST, true, 4_000), 0);
+        table.recordHeartbeat(peer(1, 1, EAST, true, 4_000), 0);
         assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).isEmpty();
         assertThat(table.expire(10_401)).hasSize(1);
     }
@@ -142,22 +142,22 @@
                 0,
                 false,
                 12_000);
-        table.heartbeat(seldom, 0);
-        table.toldSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS - 1);
+        table.recordHeartbeat(seldom, 0);
+        table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS - 1);
         assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.9");
-        table.toldSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS);
+        table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS);
         assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).isEmpty();
-        assertThat(table.silent(5, PeerTable.SUSPECT_MILLIS)).containsExactly(new HostId("host-9"));
-        table.heartbeat(seldom, PeerTable.SUSPECT_MILLIS + 1);
+        assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS)).containsExactly(new HostId("host-9"));
+        table.recordHeartbeat(seldom, PeerTable.SUSPECT_MILLIS + 1);
         assertThat(named(EAST, PeerTable.SUSPECT_MILLIS + 1)).containsExactly("127.0.0.9");
-        assertThat(table.silent(5, PeerTable.SUSPECT_MILLIS + 1)).isEmpty();
+        assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS + 1)).isEmpty();
     }
 
     @Test
     void believesItsOwnEarsAboutRoutersThatTakeCallersAndForgetsNobodyItNeverHeard() {
-        table.heartbeat(peer(1, 1, EAST, true), 0);
-        table.toldSilent(new HostId("host-1"), PeerTable.SUSPECT_MILLIS - 1);
-        table.toldSilent(new HostId("host-2"), PeerTable.SUSPECT_MILLIS - 1);
+        table.recordHeartbeat(peer(1, 1, EAST, true), 0);
+        table.reportedSilent(new HostId("host-1"), PeerTable.SUSPECT_MILLIS - 1);
+        table.reportedSilent(new HostId("host-2"), PeerTable.SUSPECT_MILLIS - 1);
         assertThat(named(EAST, PeerTable.SUSPECT_MILLIS - 1)).containsExactly("127.0.0.1");
     }
 
@@ -167,7 +167,7 @@
      */
     @Test
     void keepsRoutersThatSendHeartbeatsSeldom() {
-        table.heartbeat(peer(1, 1, EAST, true, 197_000), 0);
+        table.recordHeartbeat(peer(1, 1, EAST, true, 197_000), 0);
         table.expire(197_000);
         assertThat(table.addresses()).hasSize(1);
         table.expire(3 * 197_000);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReadersTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReadersTest.java
@@ -13,7 +13,7 @@
     private static final DataCentreId EAST = new DataCentreId("east");
     private static final DataCentreId WEST = new DataCentreId("west");
 
-    private final PlatformReaders readers = new PlatformReaders();
+    private final PlatformReaderSelection readers = new PlatformReaderSelection();
     private final Peer strong = peer("strong", EAST, 150);
     private final Peer middle = peer("middle", EAST, 75);
     private final Peer weak = peer("weak", EAST, 36);
@@ -37,24 +37,24 @@
 
     @Test
     void readsUnlessOneBeforeItInItsDataCentreSaysThatItDoes() {
-        assertThat(readers.mustRead(middle, 0)).isTrue();
-        readers.heard(elsewhere, true, 0);
-        readers.heard(weak, true, 0);
-        assertThat(readers.mustRead(middle, 0)).isTrue();
-        readers.heard(strong, true, 0);
-        assertThat(readers.mustRead(middle, 0)).isFalse();
-        assertThat(readers.mustRead(weak, 0)).isFalse();
-        assertThat(readers.mustRead(strong, 0)).isTrue();
+        assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
+        readers.recordHeartbeat(elsewhere, true, 0);
+        readers.recordHeartbeat(weak, true, 0);
+        assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
+        readers.recordHeartbeat(strong, true, 0);
+        assertThat(readers.mustReadPlatform(middle, 0)).isFalse();
+        assertThat(readers.mustReadPlatform(weak, 0)).isFalse();
+        assertThat(readers.mustReadPlatform(strong, 0)).isTrue();
     }
 
     /** Of all that read at a start exactly one of each data centre is left, whoever is heard first. */
     @Test
     void leavesOneOfThoseThatAllRead() {
         for (Peer peer : new Peer[] {weak, strong, middle, elsewhere}) {
-            readers.heard(peer, true, 0);
+            readers.recordHeartbeat(peer, true, 0);
         }
         assertThat(new Peer[] {strong, middle, weak, elsewhere})
-                .filteredOn(peer -> readers.mustRead(peer, 0))
+                .filteredOn(peer -> readers.mustReadPlatform(peer, 0))
                 .containsExactly(strong, elsewhere);
     }
 
@@ -65,26 +65,28 @@
      */
     @Test
     void readsAgainOnceTheReaderIsSilentOrTurnedAway() {
-        readers.heard(strong, true, 0);
-        assertThat(readers.mustRead(weak, PlatformReaders.TRUST_MILLIS - 1)).isFalse();
-        assertThat(readers.mustRead(weak, PlatformReaders.TRUST_MILLIS)).isTrue();
-        readers.heard(strong, true, 5_000);
-        readers.heard(middle, true, 5_000);
-        readers.heard(strong, false, 5_001);
-        assertThat(readers.mustRead(weak, 5_001)).isFalse();
-        assertThat(readers.mustRead(middle, 5_001)).isTrue();
-        readers.heard(middle, false, 5_002);
-        assertThat(readers.mustRead(weak, 5_002)).isTrue();
+        readers.recordHeartbeat(strong, true, 0);
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS - 1))
+                .isFalse();
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS))
+                .isTrue();
+        readers.recordHeartbeat(strong, true, 5_000);
+        readers.recordHeartbeat(middle, true, 5_000);
+        readers.recordHeartbeat(strong, false, 5_001);
+        assertThat(readers.mustReadPlatform(weak, 5_001)).isFalse();
+        assertThat(readers.mustReadPlatform(middle, 5_001)).isTrue();
+        readers.recordHeartbeat(middle, false, 5_002);
+        assertThat(readers.mustReadPlatform(weak, 5_002)).isTrue();
     }
 
     @Test
     void reliesOnlyOnReadersThatItWasToldOf() {
-        readers.heard(strong, true, 0);
-        readers.heard(weak, true, 0);
+        readers.recordHeartbeat(strong, true, 0);
+        readers.recordHeartbeat(weak, true, 0);
         assertThat(readers.reliesOn(middle, strong, 0)).isTrue();
         assertThat(readers.reliesOn(middle, weak, 0)).isFalse();
         assertThat(readers.reliesOn(middle, elsewhere, 0)).isFalse();
-        assertThat(readers.reliesOn(middle, strong, PlatformReaders.TRUST_MILLIS))
+        assertThat(readers.reliesOn(middle, strong, PlatformReaderSelection.TRUST_MILLIS))
                 .isFalse();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/RequestRateTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/RequestRateTest.java
@@ -13,7 +13,7 @@
         for (int i = 0; i < requests; i++) {
             rate.count();
         }
-        return rate.endSpan(untilMillis);
+        return rate.endInterval(untilMillis);
     }
 
     @Test
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/KeeperChoiceTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/KeeperChoiceTest.java
@@ -28,14 +28,15 @@
         List<HostId> reversed = new ArrayList<>(hosts);
         Collections.reverse(reversed);
         UpstreamId upstream = new UpstreamId("upstream", 1);
-        assertThat(KeeperChoice.of(upstream, hosts, 0)).isEqualTo(KeeperChoice.of(upstream, reversed, 0));
+        assertThat(PermitIssuerSelector.of(upstream, hosts, 0))
+                .isEqualTo(PermitIssuerSelector.of(upstream, reversed, 0));
     }
 
     @Test
     void sharesTheLimitsOfManyUpstreamsOut() {
         Set<HostId> keepers = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            keepers.add(KeeperChoice.of(new UpstreamId("upstream-" + i), hosts(7), 0)
+            keepers.add(PermitIssuerSelector.of(new UpstreamId("upstream-" + i), hosts(7), 0)
                     .host());
         }
         assertThat(keepers).hasSize(7);
@@ -44,13 +45,16 @@
     @Test
     void givesPartsOfAFleetThatDoNotHearOfEachOtherTheLimitTogether() {
         UpstreamId upstream = new UpstreamId("upstream");
-        double one = KeeperChoice.of(upstream, hosts(7).subList(0, 3), 4).share();
-        double other = KeeperChoice.of(upstream, hosts(7).subList(3, 7), 3).share();
+        double one =
+                PermitIssuerSelector.of(upstream, hosts(7).subList(0, 3), 4).share();
+        double other =
+                PermitIssuerSelector.of(upstream, hosts(7).subList(3, 7), 3).share();
         assertThat(one + other).isEqualTo(1);
     }
 
     @Test
     void isNobodyWithoutRouters() {
-        assertThat(KeeperChoice.of(new UpstreamId("upstream"), List.of(), 3)).isEqualTo(new KeeperChoice(null, 0));
+        assertThat(PermitIssuerSelector.of(new UpstreamId("upstream"), List.of(), 3))
+                .isEqualTo(new PermitIssuerSelector(null, 0));
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
@@ -22,7 +22,7 @@
 
     private final LimitAdmission admission = new LimitAdmission(
             table,
-            new PermitPort() {
+            new PermitClient() {
                 @Override
                 public void ask(UpstreamId upstream, RateLimit limit, int permits, Consumer<PermitGrant> then) {
                     asked.add(then);
@@ -37,7 +37,8 @@
             () -> nowMillis);
 
     private void name(double perSecond) {
-        table.answered(UPSTREAM, new StatedLimit(StatedLimit.Kind.STATED, perSecond), nowMillis - 1, nowMillis);
+        table.answerReceived(
+                UPSTREAM, new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond), nowMillis - 1, nowMillis);
     }
 
     private void acquire(int requests) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
@@ -11,65 +11,70 @@
 
     private final LimitTable table = new LimitTable();
 
-    private static StatedLimit of(double perSecond) {
-        return new StatedLimit(StatedLimit.Kind.STATED, perSecond);
+    private static AdvertisedLimit of(double perSecond) {
+        return new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond);
     }
 
     @Test
     void holdsALimitForAsLongAsAnswersNameIt() {
-        assertThat(table.answered(UPSTREAM, of(2), 0, 100)).isEqualTo(LimitChange.BEGAN);
-        assertThat(table.answered(UPSTREAM, of(2), 150, 200)).isEqualTo(LimitChange.NONE);
-        assertThat(table.answered(UPSTREAM, of(5), 250, 300)).isEqualTo(LimitChange.CHANGED);
-        assertThat(table.answered(UPSTREAM, StatedLimit.ABSENT, 350, 400)).isEqualTo(LimitChange.ENDED);
+        assertThat(table.answerReceived(UPSTREAM, of(2), 0, 100)).isEqualTo(LimitChange.BEGAN);
+        assertThat(table.answerReceived(UPSTREAM, of(2), 150, 200)).isEqualTo(LimitChange.NONE);
+        assertThat(table.answerReceived(UPSTREAM, of(5), 250, 300)).isEqualTo(LimitChange.CHANGED);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.ABSENT, 350, 400))
+                .isEqualTo(LimitChange.ENDED);
         assertThat(table.isEmpty()).isTrue();
-        assertThat(table.answered(UPSTREAM, of(1), 450, 500)).isEqualTo(LimitChange.BEGAN);
+        assertThat(table.answerReceived(UPSTREAM, of(1), 450, 500)).isEqualTo(LimitChange.BEGAN);
     }
 
     @Test
     void keepsALimitOverAnAnswerThatBeganBeforeItWasNamed() {
-        table.answered(UPSTREAM, of(2), 0, 100);
-        assertThat(table.answered(UPSTREAM, StatedLimit.ABSENT, 99, 120)).isEqualTo(LimitChange.NONE);
-        assertThat(table.answered(UPSTREAM, StatedLimit.ABSENT, 100, 121)).isEqualTo(LimitChange.NONE);
+        table.answerReceived(UPSTREAM, of(2), 0, 100);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.ABSENT, 99, 120))
+                .isEqualTo(LimitChange.NONE);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.ABSENT, 100, 121))
+                .isEqualTo(LimitChange.NONE);
         assertThat(table.find(UPSTREAM).perSecond()).isEqualTo(2);
     }
 
     @Test
     void lowersALimitAtOnceAndRaisesItOnlyByALaterRequest() {
-        table.answered(UPSTREAM, of(5), 0, 100);
-        assertThat(table.answered(UPSTREAM, of(2), 50, 110)).isEqualTo(LimitChange.CHANGED);
-        assertThat(table.answered(UPSTREAM, of(5), 90, 120)).isEqualTo(LimitChange.NONE);
+        table.answerReceived(UPSTREAM, of(5), 0, 100);
+        assertThat(table.answerReceived(UPSTREAM, of(2), 50, 110)).isEqualTo(LimitChange.CHANGED);
+        assertThat(table.answerReceived(UPSTREAM, of(5), 90, 120)).isEqualTo(LimitChange.NONE);
         assertThat(table.find(UPSTREAM).perSecond()).isEqualTo(2);
-        assertThat(table.answered(UPSTREAM, of(5), 115, 130)).isEqualTo(LimitChange.CHANGED);
+        assertThat(table.answerReceived(UPSTREAM, of(5), 115, 130)).isEqualTo(LimitChange.CHANGED);
     }
 
     @Test
     void keepsWhatHeldOverAValueThatIsNoLimit() {
-        assertThat(table.answered(UPSTREAM, StatedLimit.UNREADABLE, 0, 50)).isEqualTo(LimitChange.NONE);
-        table.answered(UPSTREAM, of(2), 0, 100);
-        assertThat(table.answered(UPSTREAM, StatedLimit.UNREADABLE, 150, 200)).isEqualTo(LimitChange.NONE);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.UNREADABLE, 0, 50))
+                .isEqualTo(LimitChange.NONE);
+        table.answerReceived(UPSTREAM, of(2), 0, 100);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.UNREADABLE, 150, 200))
+                .isEqualTo(LimitChange.NONE);
         assertThat(table.find(UPSTREAM).perSecond()).isEqualTo(2);
     }
 
     @Test
     void believesTheNewestOfWhatRoutersTell() {
-        assertThat(table.heard(UPSTREAM, new RateLimit(3, 100))).isEqualTo(LimitChange.BEGAN);
-        assertThat(table.heard(UPSTREAM, new RateLimit(1, 90))).isEqualTo(LimitChange.NONE);
-        assertThat(table.heard(UPSTREAM, new RateLimit(9, 110))).isEqualTo(LimitChange.CHANGED);
+        assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 100))).isEqualTo(LimitChange.BEGAN);
+        assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(1, 90))).isEqualTo(LimitChange.NONE);
+        assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(9, 110))).isEqualTo(LimitChange.CHANGED);
         assertThat(table.ended(UPSTREAM, 105)).isEqualTo(LimitChange.NONE);
         assertThat(table.ended(UPSTREAM, 120)).isEqualTo(LimitChange.ENDED);
     }
 
     @Test
     void bringsNoLimitBackByNewsThatAreOlderThanItsEnd() {
-        table.heard(UPSTREAM, new RateLimit(3, 100));
+        table.reportedByPeer(UPSTREAM, new RateLimit(3, 100));
         table.ended(UPSTREAM, 120);
-        assertThat(table.heard(UPSTREAM, new RateLimit(3, 110))).isEqualTo(LimitChange.NONE);
-        assertThat(table.heard(UPSTREAM, new RateLimit(3, 130))).isEqualTo(LimitChange.BEGAN);
+        assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 110))).isEqualTo(LimitChange.NONE);
+        assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 130))).isEqualTo(LimitChange.BEGAN);
     }
 
     @Test
     void forgetsTheLimitOfAnUpstreamThatIsNotListedForAMinute() {
-        table.answered(UPSTREAM, of(2), 0, 100);
+        table.answerReceived(UPSTREAM, of(2), 0, 100);
         table.expire(id -> false, 60_100);
         assertThat(table.find(UPSTREAM)).isNotNull();
         table.expire(id -> true, 60_101);
@@ -80,7 +85,7 @@
 
     @Test
     void limitsEachStartOfAnUpstreamByItself() {
-        table.answered(UPSTREAM, of(2), 0, 100);
+        table.answerReceived(UPSTREAM, of(2), 0, 100);
         assertThat(table.find(new UpstreamId("upstream", 8))).isNull();
         assertThat(table.forget(UPSTREAM)).isTrue();
         assertThat(table.isEmpty()).isTrue();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitWaitTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitWaitTest.java
@@ -21,7 +21,7 @@
     })
     void letsOneRequestForEachClosedUpstreamWaitForAQuarterOfItsTarget(
             long opensMillis, long passedMillis, int waiting, int closed, boolean allowed) {
-        assertThat(LimitWait.isAllowed(opensMillis, passedMillis, TARGET_MILLIS, waiting, closed))
+        assertThat(PermitWaitPolicy.isAllowed(opensMillis, passedMillis, TARGET_MILLIS, waiting, closed))
                 .isEqualTo(allowed);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/SeededLimits.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/SeededLimits.java
@@ -118,7 +118,7 @@
     }
 
     /** A router. */
-    private final class RouterModel implements PermitPort {
+    private final class RouterModel implements PermitClient {
         private final int place;
         private final HostId host;
         private int incarnation;
@@ -126,7 +126,7 @@
         private PeerTable peers;
         private LimitTable table;
         private LimitAdmission admission;
-        private LimitKeeping keeping;
+        private PermitIssuerService keeping;
 
         RouterModel(int place) {
             this.place = place;
@@ -139,7 +139,7 @@
             peers = new PeerTable();
             table = new LimitTable();
             admission = new LimitAdmission(table, this, time::nowMillis);
-            keeping = new LimitKeeping(host, table, this::keeperOf, time::nowMillis);
+            keeping = new PermitIssuerService(host, table, this::permitIssuerOf, time::nowMillis);
         }
 
         private void restart() {
@@ -148,9 +148,9 @@
             time.at(now() + DOWN_MILLIS, () -> {
                 down = false;
                 routers.forEach(RouterModel::beat);
-                routers.forEach(other -> other.send(
-                        this,
-                        router -> other.table.all().forEach((upstream, limit) -> router.table.heard(upstream, limit))));
+                routers.forEach(other -> other.send(this, router -> other.table
+                        .all()
+                        .forEach((upstream, limit) -> router.table.reportedByPeer(upstream, limit))));
             });
         }
 
@@ -173,14 +173,14 @@
         private void beat() {
             if (!down) {
                 Peer peer = peer();
-                routers.forEach(other -> send(other, router -> router.peers.heartbeat(peer, now())));
+                routers.forEach(other -> send(other, router -> router.peers.recordHeartbeat(peer, now())));
             }
         }
 
-        private KeeperChoice keeperOf(UpstreamId upstream) {
+        private PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
             List<HostId> inTouch = new ArrayList<>(List.of(host));
             peers.alive(now()).forEach(peer -> inTouch.add(peer.process().host()));
-            return KeeperChoice.of(upstream, inTouch, peers.silentDeciding(now()));
+            return PermitIssuerSelector.of(upstream, inTouch, peers.silentEntryRouterCount(now()));
         }
 
         /** Delivers something to another router unless it is lost or the other one is down. */
@@ -215,20 +215,20 @@
             if (mine != incarnation || down) {
                 return;
             }
-            StatedLimit stated = now() < NAMES_FROM_MILLIS
-                    ? StatedLimit.ABSENT
-                    : new StatedLimit(StatedLimit.Kind.STATED, scenario.perSecond());
-            if (table.answered(UPSTREAM, stated, sentMillis, now()) == LimitChange.BEGAN) {
+            AdvertisedLimit stated = now() < NAMES_FROM_MILLIS
+                    ? AdvertisedLimit.ABSENT
+                    : new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, scenario.perSecond());
+            if (table.answerReceived(UPSTREAM, stated, sentMillis, now()) == LimitChange.BEGAN) {
                 RateLimit limit = table.find(UPSTREAM);
                 messages += routers.size() - 1;
-                routers.forEach(other -> send(other, router -> router.table.heard(UPSTREAM, limit)));
+                routers.forEach(other -> send(other, router -> router.table.reportedByPeer(UPSTREAM, limit)));
             }
         }
 
         @Override
         public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-            KeeperChoice kept = keeping.keeperOf(upstream);
-            if (keeping.isOwn(kept)) {
+            PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
+            if (keeping.isThisRouter(kept)) {
                 then.accept(keeping.answer(upstream, wanted, 0));
                 return;
             }
@@ -245,7 +245,7 @@
                     .findFirst()
                     .orElseThrow();
             send(keeper, router -> {
-                router.table.heard(upstream, limit);
+                router.table.reportedByPeer(upstream, limit);
                 PermitGrant grant = router.keeping.answer(upstream, wanted, 0);
                 router.send(this, asker -> once.accept(grant));
             });
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/StatedLimitTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/StatedLimitTest.java
@@ -11,32 +11,32 @@
 
 class StatedLimitTest {
 
-    private static StatedLimit parse(String... values) {
-        return StatedLimit.parse(List.of(values));
+    private static AdvertisedLimit parse(String... values) {
+        return AdvertisedLimit.parse(List.of(values));
     }
 
     @Test
     void readsAnAnswerWithoutTheFieldAsNoLimit() {
-        assertThat(parse()).isEqualTo(StatedLimit.ABSENT);
+        assertThat(parse()).isEqualTo(AdvertisedLimit.ABSENT);
     }
 
     @ParameterizedTest
     @CsvSource({"1.7, 1.7", "0, 0", "0.0, 0", "100, 100", " 3 , 3", "5., 5", "1e2, 100", "0.3, 0.3"})
     void readsADecimalNumber(String value, double perSecond) {
-        assertThat(parse(value)).isEqualTo(new StatedLimit(StatedLimit.Kind.STATED, perSecond));
+        assertThat(parse(value)).isEqualTo(new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond));
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"", " ", "-1", "-0", "NaN", "Infinity", "5/s", "5 rps", "0x10", "ten", "1d", ".", "+1", "--"})
     void readsWhatIsNoDecimalNumberAsNeitherALimitNorNone(String value) {
-        assertThat(parse(value)).isEqualTo(StatedLimit.UNREADABLE);
+        assertThat(parse(value)).isEqualTo(AdvertisedLimit.UNREADABLE);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1e300", "1e999999999", "100000", "99999999999999999999999999"})
     void readsALimitThatNoUpstreamReachesAsNone(String value) {
-        assertThat(parse(value)).isEqualTo(StatedLimit.ABSENT);
+        assertThat(parse(value)).isEqualTo(AdvertisedLimit.ABSENT);
     }
 
     @Test
@@ -44,6 +44,6 @@
         assertThat(parse("5", "3").perSecond()).isEqualTo(3);
         assertThat(parse("2, 5").perSecond()).isEqualTo(2);
         assertThat(parse("soon", "4").perSecond()).isEqualTo(4);
-        assertThat(parse("", "")).isEqualTo(StatedLimit.UNREADABLE);
+        assertThat(parse("", "")).isEqualTo(AdvertisedLimit.UNREADABLE);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentReplicaTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentReplicaTest.java
@@ -23,14 +23,14 @@
 
     @Test
     void takesOnlyWhatIsNewerWholeAndValid() {
-        assertThat(replica.offer(delta(0, 3, "a"))).isEqualTo(Applied.ADOPTED);
-        assertThat(replica.offer(delta(0, 2, "old"))).isEqualTo(Applied.STALE);
-        assertThat(replica.offer(delta(0, 3, "same"))).isEqualTo(Applied.STALE);
-        assertThat(replica.offer(delta(4, 5, "gap"))).isEqualTo(Applied.GAP);
-        assertThat(replica.offer(delta(3, 4, "bad"))).isEqualTo(Applied.REJECTED);
+        assertThat(replica.offer(delta(0, 3, "a"))).isEqualTo(ApplyResult.ADOPTED);
+        assertThat(replica.offer(delta(0, 2, "old"))).isEqualTo(ApplyResult.STALE);
+        assertThat(replica.offer(delta(0, 3, "same"))).isEqualTo(ApplyResult.STALE);
+        assertThat(replica.offer(delta(4, 5, "gap"))).isEqualTo(ApplyResult.GAP);
+        assertThat(replica.offer(delta(3, 4, "bad"))).isEqualTo(ApplyResult.REJECTED);
         assertThat(replica.value()).isEqualTo("a");
         assertThat(replica.rejection().version()).isEqualTo(4);
-        assertThat(replica.offer(delta(3, 5, "b"))).isEqualTo(Applied.ADOPTED);
+        assertThat(replica.offer(delta(3, 5, "b"))).isEqualTo(ApplyResult.ADOPTED);
         assertThat(replica.value()).isEqualTo("b");
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryNamingTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryNamingTest.java
@@ -44,22 +44,22 @@
      */
     @Test
     void leavesOutARouterThatIsNotKnownToServe() {
-        EntryNaming naming = new EntryNaming(OWN, host -> !host.equals(FRESH), 8);
-        assertThat(naming.name(view(), "10.0.0.1")).containsExactly(NEAR, FAR);
+        EntryRouterSelector naming = new EntryRouterSelector(OWN, host -> !host.equals(FRESH), 8);
+        assertThat(naming.select(view(), "10.0.0.1")).containsExactly(NEAR, FAR);
     }
 
     @Test
     void namesAllUsableRoutersWhileNoneIsKnownToServe() {
-        EntryNaming naming = new EntryNaming(OWN, host -> false, 8);
-        assertThat(naming.name(view(), "10.0.0.1")).containsExactlyInAnyOrder(NEAR, FRESH, FAR);
+        EntryRouterSelector naming = new EntryRouterSelector(OWN, host -> false, 8);
+        assertThat(naming.select(view(), "10.0.0.1")).containsExactlyInAnyOrder(NEAR, FRESH, FAR);
     }
 
     @Test
     void leavesOutSuspectsAndNamesNoMoreThanAsked() {
-        table.hear(new MemberRecord(FAR, 1, 0, MemberState.SUSPECT), 0);
-        assertThat(new EntryNaming(OWN, host -> true, 8).name(view(), "10.0.0.1"))
+        table.merge(new MemberRecord(FAR, 1, 0, MemberState.SUSPECT), 0);
+        assertThat(new EntryRouterSelector(OWN, host -> true, 8).select(view(), "10.0.0.1"))
                 .containsExactlyInAnyOrder(NEAR, FRESH);
-        assertThat(new EntryNaming(OWN, host -> true, 1).name(view(), "10.0.0.1"))
+        assertThat(new EntryRouterSelector(OWN, host -> true, 1).select(view(), "10.0.0.1"))
                 .hasSize(1);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/LeastDelayTestChooser.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/LeastDelayTestChooser.java
@@ -7,10 +7,10 @@
 /** Chooses the group with the least expected delay, by name among equals; for tests that want no affinity. */
 public final class LeastDelayTestChooser implements GroupChooser {
 
-    private final LoadTable loads;
+    private final GroupLoadTable loads;
 
     /** Creates a chooser. */
-    public LeastDelayTestChooser(LoadTable loads) {
+    public LeastDelayTestChooser(GroupLoadTable loads) {
         this.loads = loads;
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/RequestDigestTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/RequestDigestTest.java
@@ -21,15 +21,15 @@
     private static RequestDigest digest(String method, String host, String target, String account, String body) {
         ClientAccountId id = account == null ? null : new ClientAccountId(account);
         return new RequestDigest(
-                RequestDigest.headOf(method, host, target, id, body.length()),
-                RequestDigest.bodyOf(new ByteBuffer[] {bytes(body)}, id));
+                RequestDigest.hashHead(method, host, target, id, body.length()),
+                RequestDigest.hashBody(new ByteBuffer[] {bytes(body)}, id));
     }
 
     @Test
     void isTheSameForARepeatThatComesInOtherPieces() {
         ClientAccountId account = new ClientAccountId("account-1");
         ByteBuffer[] pieces = {bytes("pro"), bytes(""), bytes("mpt")};
-        assertThat(RequestDigest.bodyOf(pieces, account)).isEqualTo(KNOWN.body());
+        assertThat(RequestDigest.hashBody(pieces, account)).isEqualTo(KNOWN.body());
         assertThat(digest("POST", "a.example", "/prompts/1", "account-1", "prompt"))
                 .isEqualTo(KNOWN);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SeededSuspects.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SeededSuspects.java
@@ -181,10 +181,10 @@
             if (other == this || isSplit(this, other)) {
                 return;
             }
-            for (Suspicion suspicion : table.list(64, now())) {
+            for (SuspectedRequest suspicion : table.list(64, now())) {
                 suspicion
-                        .endings()
-                        .forEach(told -> other.hear(suspicion.request(), told.upstream(), told.begun(), null));
+                        .crashes()
+                        .forEach(told -> other.hear(suspicion.request(), told.upstream(), told.answerStarted(), null));
             }
         }
 
@@ -193,7 +193,7 @@
         }
 
         private void hear(RequestDigest request, UpstreamId upstream, boolean begun, ProcessId seenBy) {
-            if (table.ended(request, new SeenEnd(upstream, begun, now()), seenBy, now())) {
+            if (table.upstreamCrashed(request, new ObservedCrash(upstream, begun, now()), seenBy, now())) {
                 moreKnown(request);
             }
         }
@@ -269,8 +269,8 @@
             UpstreamId start = upstream.id;
             ProcessId process = router.process;
             long end = now() + 10_000;
-            router.table.tryBegun(request, process, start, end);
-            router.tell(other -> other.table.tryBegun(request, process, start, end));
+            router.table.trialStarted(request, process, start, end);
+            router.tell(other -> other.table.trialStarted(request, process, start, end));
         }
 
         private UpstreamModel choose(Set<UpstreamId> avoided) {
@@ -291,7 +291,7 @@
                     return;
                 }
                 ProcessId process = router.process;
-                router.table.ended(request, new SeenEnd(start, some, now()), process, now());
+                router.table.upstreamCrashed(request, new ObservedCrash(start, some, now()), process, now());
                 router.tell(other -> other.hear(request, start, some, process));
                 router.moreKnown(request);
                 at(now(), this::goOn);
@@ -329,14 +329,14 @@
             if (tries) {
                 tries = false;
                 ProcessId process = router.process;
-                router.table.tryEnded(request, process, now());
-                router.tell(other -> other.table.tryEnded(request, process, now()));
+                router.table.trialEnded(request, process, now());
+                router.tell(other -> other.table.trialEnded(request, process, now()));
             }
         }
 
         private void served() {
-            if (router.table.served(request)) {
-                router.tell(other -> other.table.served(request));
+            if (router.table.requestServed(request)) {
+                router.tell(other -> other.table.requestServed(request));
             }
             leave();
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
@@ -23,7 +23,7 @@
     /** Time between two ends that have nothing to do with each other. */
     private static final long APART_MILLIS = 1_000;
 
-    private final List<Suspicion> found = new ArrayList<>();
+    private final List<SuspectedRequest> found = new ArrayList<>();
     private final SuspectTable table = new SuspectTable(OWN, found::add);
     private long now = 10_000;
 
@@ -33,7 +33,7 @@
 
     private void end(int number, boolean begun, RequestDigest... requests) {
         for (RequestDigest request : requests) {
-            table.ended(request, new SeenEnd(upstream(number), begun, now), OWN, now);
+            table.upstreamCrashed(request, new ObservedCrash(upstream(number), begun, now), OWN, now);
         }
     }
 
@@ -58,7 +58,7 @@
     void sendsWhatIsNotSuspected() {
         endApart(1, 3, CAUSE);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
-        assertThat(table.mayKnow(OTHER.head())).isFalse();
+        assertThat(table.mayContain(OTHER.head())).isFalse();
     }
 
     @Test
@@ -70,7 +70,7 @@
         endApart(3, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(found).hasSize(1);
-        assertThat(found.get(0).endings()).hasSize(3);
+        assertThat(found.get(0).crashes()).hasSize(3);
     }
 
     /**
@@ -121,7 +121,7 @@
         endApart(1, 1, CAUSE);
         endApart(2, 4, CAUSE, OTHER);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
-        assertThat(found).extracting(Suspicion::request).containsExactly(CAUSE);
+        assertThat(found).extracting(SuspectedRequest::request).containsExactly(CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
@@ -129,7 +129,7 @@
     void tellsRequestsThatShareAllTheirEndsApartByOneMoreEnd() {
         endApart(1, 3, CAUSE, OTHER);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
-        table.tryBegun(CAUSE, OWN, upstream(4), now + 5_000);
+        table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         SuspectDecision other = table.decide(OTHER, now);
         assertThat(other.action()).isEqualTo(Action.TRY);
         assertThat(other.avoided()).containsExactly(upstream(4));
@@ -195,7 +195,7 @@
     void tellsTheStartsOfOneUpstreamApart() {
         for (int start = 1; start <= 3; start++) {
             now += APART_MILLIS;
-            table.ended(CAUSE, new SeenEnd(new UpstreamId("only", start), false, now), OWN, now);
+            table.upstreamCrashed(CAUSE, new ObservedCrash(new UpstreamId("only", start), false, now), OWN, now);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
@@ -203,7 +203,7 @@
     @Test
     void clearsARequestThatWasServedWhole() {
         endApart(1, 2, CAUSE);
-        assertThat(table.served(CAUSE)).isTrue();
+        assertThat(table.requestServed(CAUSE)).isTrue();
         endApart(3, 4, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
         assertThat(table.size()).isEqualTo(1);
@@ -212,11 +212,11 @@
     @Test
     void holdsARequestWhileAnotherRouterTriesTheSame() {
         endApart(1, 1, CAUSE);
-        table.tryBegun(CAUSE, PEER, upstream(2), now + 5_000);
+        table.trialStarted(CAUSE, PEER, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
-        table.tryEnded(CAUSE, PEER, now);
+        table.trialEnded(CAUSE, PEER, now);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
-        now += 9 * SuspectTable.LOOK_MILLIS;
+        now += 9 * SuspectTable.RECHECK_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
     }
 
@@ -228,30 +228,30 @@
     @Test
     void letsTheRouterThatSawAnEndGoOnFirst() {
         now += APART_MILLIS;
-        table.ended(CAUSE, new SeenEnd(upstream(1), false, now), PEER, now);
+        table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, now), PEER, now);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
-        now += 9 * SuspectTable.LOOK_MILLIS;
+        now += 9 * SuspectTable.RECHECK_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
     void goesOnAtOnceAfterATrialOfItsOwn() {
         endApart(1, 1, CAUSE);
-        table.tryBegun(CAUSE, OWN, upstream(2), now + 5_000);
+        table.trialStarted(CAUSE, OWN, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
-        table.tryEnded(CAUSE, OWN, now);
+        table.trialEnded(CAUSE, OWN, now);
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
     void waitsNoLongerForARouterThatIsGoneOrATrialWhoseTimeIsOver() {
         endApart(1, 1, CAUSE);
-        table.tryBegun(CAUSE, PEER, upstream(2), now + 100);
+        table.trialStarted(CAUSE, PEER, upstream(2), now + 100);
         now += 101;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
-        table.tryBegun(CAUSE, PEER, upstream(2), now + 5_000);
+        table.trialStarted(CAUSE, PEER, upstream(2), now + 5_000);
         table.removeProcess(PEER, now);
-        now += 9 * SuspectTable.LOOK_MILLIS;
+        now += 9 * SuspectTable.RECHECK_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
     }
 
@@ -265,9 +265,9 @@
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         now += SuspectTable.REFUSED_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
-        table.tryBegun(CAUSE, OWN, upstream(4), now + 5_000);
+        table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
-        table.tryEnded(CAUSE, OWN, now);
+        table.trialEnded(CAUSE, OWN, now);
         end(4, false, CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
@@ -278,7 +278,7 @@
         now += SuspectTable.FORGOTTEN_MILLIS;
         table.expire(now);
         assertThat(table.isEmpty()).isTrue();
-        assertThat(table.mayKnow(CAUSE.head())).isFalse();
+        assertThat(table.mayContain(CAUSE.head())).isFalse();
     }
 
     /**
@@ -293,12 +293,13 @@
         int flood = 3 * SuspectTable.MOST_SUSPECTS;
         for (int i = 0; i < flood; i++) {
             now++;
-            table.ended(new RequestDigest(100 + i, i), new SeenEnd(upstream(100 + i), false, now), OWN, now);
+            table.upstreamCrashed(
+                    new RequestDigest(100 + i, i), new ObservedCrash(upstream(100 + i), false, now), OWN, now);
         }
         assertThat(table.size()).isEqualTo(SuspectTable.MOST_SUSPECTS);
         assertThat(table.dropped()).isEqualTo(flood - SuspectTable.MOST_SUSPECTS + 2);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
-        assertThat(table.find(OTHER, now).endings()).hasSize(2);
+        assertThat(table.find(OTHER, now).crashes()).hasSize(2);
     }
 
     @Test
@@ -311,7 +312,7 @@
     @Test
     void takesNoNewsOfLongAgo() {
         long longAgo = now - SuspectTable.FORGOTTEN_MILLIS;
-        assertThat(table.ended(CAUSE, new SeenEnd(upstream(1), false, longAgo), null, now))
+        assertThat(table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, longAgo), null, now))
                 .isFalse();
         assertThat(table.isEmpty()).isTrue();
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffTableTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void opensAtOnceWhenTheTimeIsOver() {
-        assertThat(table.asked(UPSTREAM, 3_000, 1_000)).isTrue();
+        assertThat(table.backOffRequested(UPSTREAM, 3_000, 1_000)).isTrue();
         assertThat(table.opensMillis(UPSTREAM, 1_000)).isEqualTo(3_000);
         assertThat(table.opensMillis(UPSTREAM, 3_999)).isEqualTo(1);
         assertThat(table.opensMillis(UPSTREAM, 4_000)).isZero();
@@ -22,17 +22,17 @@
 
     @Test
     void keepsTheOneThatEndsLastOfSeveralThatOverlap() {
-        table.asked(UPSTREAM, 3_000, 1_000);
-        assertThat(table.asked(UPSTREAM, 500, 1_200)).isFalse();
+        table.backOffRequested(UPSTREAM, 3_000, 1_000);
+        assertThat(table.backOffRequested(UPSTREAM, 500, 1_200)).isFalse();
         assertThat(table.opensMillis(UPSTREAM, 1_200)).isEqualTo(2_800);
-        assertThat(table.asked(UPSTREAM, 5_000, 1_300)).isFalse();
+        assertThat(table.backOffRequested(UPSTREAM, 5_000, 1_300)).isFalse();
         assertThat(table.opensMillis(UPSTREAM, 1_300)).isEqualTo(5_000);
     }
 
     @Test
     void beginsAnewAfterOneThatIsOver() {
-        table.asked(UPSTREAM, 100, 1_000);
-        assertThat(table.asked(UPSTREAM, 100, 1_100)).isTrue();
+        table.backOffRequested(UPSTREAM, 100, 1_000);
+        assertThat(table.backOffRequested(UPSTREAM, 100, 1_100)).isTrue();
         assertThat(table.expire(1_150)).isEmpty();
         assertThat(table.expire(1_200)).containsEntry(UPSTREAM, new BackOff(1_100, 1_200));
         assertThat(table.isEmpty()).isTrue();
@@ -40,7 +40,7 @@
 
     @Test
     void leavesTheNextStartOfAnUpstreamFree() {
-        table.asked(UPSTREAM, 3_000, 1_000);
+        table.backOffRequested(UPSTREAM, 3_000, 1_000);
         assertThat(table.opensMillis(LATER, 1_000)).isZero();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/DrainTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/DrainTableTest.java
@@ -1,7 +1,7 @@
 package org.apricotstack.core.upstream;
 
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.upstream.DrainTable.Listing;
 import org.junit.jupiter.api.Test;
 
@@ -20,62 +20,67 @@
 
     @Test
     void knowsAnUpstreamThatAnnouncedItsDrain() {
-        assertThat(table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000)).isEqualTo(DrainChange.BEGAN);
-        assertThat(table.answered(UPSTREAM, StatedDrain.DRAINING, 950, 1_100)).isEqualTo(DrainChange.NONE);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000))
+                .isEqualTo(DrainChange.BEGAN);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 950, 1_100))
+                .isEqualTo(DrainChange.NONE);
         assertThat(table.isDraining(UPSTREAM)).isTrue();
         assertThat(table.find(UPSTREAM)).isEqualTo(new AnnouncedDrain(1_000, 1_100));
     }
 
     @Test
     void knowsNothingOfALaterStartOfTheSameUpstream() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
         assertThat(table.isDraining(LATER)).isFalse();
     }
 
     @Test
     void keepsADrainOverAnswersToRequestsThatWereSentBeforeItWasAnnouncedLast() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
-        assertThat(table.answered(UPSTREAM, StatedDrain.SERVING, 1_000, 1_200)).isEqualTo(DrainChange.NONE);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.SERVING, 1_000, 1_200))
+                .isEqualTo(DrainChange.NONE);
         assertThat(table.isDraining(UPSTREAM)).isTrue();
     }
 
     @Test
     void endsADrainWithAnAnswerToALaterRequest() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
-        assertThat(table.answered(UPSTREAM, StatedDrain.SERVING, 1_001, 1_200)).isEqualTo(DrainChange.ENDED);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.SERVING, 1_001, 1_200))
+                .isEqualTo(DrainChange.ENDED);
         assertThat(table.isDraining(UPSTREAM)).isFalse();
     }
 
     @Test
     void keepsADrainOverAnswersThatSayNothingOfIt() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
-        assertThat(table.answered(UPSTREAM, StatedDrain.ABSENT, 2_000, 2_100)).isEqualTo(DrainChange.NONE);
-        assertThat(table.answered(UPSTREAM, StatedDrain.UNREADABLE, 2_000, 2_100))
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.ABSENT, 2_000, 2_100))
+                .isEqualTo(DrainChange.NONE);
+        assertThat(table.answerReceived(UPSTREAM, AdvertisedDrain.UNREADABLE, 2_000, 2_100))
                 .isEqualTo(DrainChange.NONE);
         assertThat(table.isDraining(UPSTREAM)).isTrue();
     }
 
     @Test
     void takesADrainFromAnotherRouterButNoneThatIsOlderThanItsEnd() {
-        assertThat(table.heard(UPSTREAM, 1_000, 1_010)).isEqualTo(DrainChange.BEGAN);
+        assertThat(table.reportedByPeer(UPSTREAM, 1_000, 1_010)).isEqualTo(DrainChange.BEGAN);
         assertThat(table.ended(UPSTREAM, 1_500)).isEqualTo(DrainChange.ENDED);
-        assertThat(table.heard(UPSTREAM, 1_400, 1_600)).isEqualTo(DrainChange.NONE);
-        assertThat(table.heard(UPSTREAM, 1_501, 1_600)).isEqualTo(DrainChange.BEGAN);
+        assertThat(table.reportedByPeer(UPSTREAM, 1_400, 1_600)).isEqualTo(DrainChange.NONE);
+        assertThat(table.reportedByPeer(UPSTREAM, 1_501, 1_600)).isEqualTo(DrainChange.BEGAN);
     }
 
     @Test
     void starvesNoUpstreamForEverThatThePlatformListsAsServing() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
         expire(Listing.SERVING, 1_000 + DrainTable.CONTRADICTED_MILLIS - 1);
         assertThat(table.isDraining(UPSTREAM)).isTrue();
         expire(Listing.SERVING, 1_000 + DrainTable.CONTRADICTED_MILLIS);
         assertThat(table.isDraining(UPSTREAM)).isFalse();
-        assertThat(table.heard(UPSTREAM, 1_000, 70_000)).isEqualTo(DrainChange.NONE);
+        assertThat(table.reportedByPeer(UPSTREAM, 1_000, 70_000)).isEqualTo(DrainChange.NONE);
     }
 
     @Test
     void keepsADrainWhileThePlatformDoesNotAnswerOrListsTheUpstreamAsLeaving() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
         for (long now = 1_000; now < 600_000; now += 250) {
             expire(Listing.DRAINING_OR_UNKNOWN, now);
         }
@@ -86,7 +91,7 @@
 
     @Test
     void keepsTheDrainOfAnUpstreamThatIsMissingFromTheListForAMinute() {
-        table.answered(UPSTREAM, StatedDrain.DRAINING, 900, 1_000);
+        table.answerReceived(UPSTREAM, AdvertisedDrain.DRAINING, 900, 1_000);
         expire(Listing.ABSENT, 60_999);
         assertThat(table.isDraining(UPSTREAM)).isTrue();
         expire(Listing.ABSENT, 61_000);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/PlatformHistoryTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/PlatformHistoryTableTest.java
@@ -35,7 +35,7 @@
 
     private void read(long history, long revision, UpstreamEntry... listed) {
         table.replaceAll(List.of(listed), Revisions.of(history, revision), NOW_MILLIS);
-        table.dropLapsed(NOW_MILLIS);
+        table.removeExpired(NOW_MILLIS);
     }
 
     @Test
@@ -62,7 +62,7 @@
         read(2, 36, entry("a", 2, 30, false));
         assertThat(usable()).containsExactly("a", "young");
         table.put(entry("young", 2, 37, false));
-        table.dropLapsed(NOW_MILLIS + UpstreamTable.LAPSE_MILLIS);
+        table.removeExpired(NOW_MILLIS + UpstreamTable.MISSING_GRACE_MILLIS);
         assertThat(usable()).containsExactly("a", "young");
     }
 
@@ -70,7 +70,7 @@
     void takesOffEntriesThatAreNotWrittenAgain() {
         read(1, 40, entry("a", 1, 30, false), entry("young", 1, 40, false));
         read(2, 36, entry("a", 2, 30, false));
-        table.dropLapsed(NOW_MILLIS + UpstreamTable.LAPSE_MILLIS);
+        table.removeExpired(NOW_MILLIS + UpstreamTable.MISSING_GRACE_MILLIS);
         assertThat(usable()).containsExactly("a");
     }
 
@@ -81,7 +81,8 @@
         read(2, 36, entry("a", 2, 30, false), entry("gone", 2, 31, false), entry("leaving", 2, 32, false));
         assertThat(usable()).containsExactly("a");
         assertThat(table.isDraining(new UpstreamId("leaving"))).isTrue();
-        assertThat(table.takeDoubted()).containsExactlyInAnyOrder(new UpstreamId("gone"), new UpstreamId("leaving"));
+        assertThat(table.takeUnconfirmed())
+                .containsExactlyInAnyOrder(new UpstreamId("gone"), new UpstreamId("leaving"));
         assertThat(table.takeServingAgain()).isEmpty();
     }
 
@@ -105,9 +106,9 @@
     void believesAnEntryThatStaysListed() {
         read(1, 40, entry("leaving", 1, 40, true));
         read(2, 36, entry("leaving", 2, 32, false));
-        table.dropLapsed(NOW_MILLIS + CopyDoubts.DOUBT_MILLIS - 1);
+        table.removeExpired(NOW_MILLIS + CopyDoubts.DOUBT_MILLIS - 1);
         assertThat(usable()).isEmpty();
-        table.dropLapsed(NOW_MILLIS + CopyDoubts.DOUBT_MILLIS);
+        table.removeExpired(NOW_MILLIS + CopyDoubts.DOUBT_MILLIS);
         assertThat(usable()).containsExactly("leaving");
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/ReturnSpreadTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/ReturnSpreadTest.java
@@ -14,9 +14,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 300, 3_000, 3_600_000})
     void spreadsCallersThatWereRefusedUntilTheSameMoment(long opensMillis) {
-        long spread = ReturnSpread.LEAST_MILLIS + opensMillis / 4;
+        long spread = RetryAfterJitter.LEAST_MILLIS + opensMillis / 4;
         long[] returns = LongStream.range(0, CALLERS)
-                .map(caller -> ReturnSpread.millis(
+                .map(caller -> RetryAfterJitter.millis(
                         opensMillis, Long.toString(caller, 36).hashCode()))
                 .toArray();
         assertThat(LongStream.of(returns)).allMatch(millis -> millis >= opensMillis && millis <= opensMillis + spread);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/SeededBackOffs.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/SeededBackOffs.java
@@ -91,7 +91,7 @@
                 long millis = 1 + (long) (random.nextDouble() * mostRestMillis);
                 long readMillis = now + 1 + random.nextInt(MOST_ANSWER_MILLIS);
                 rests.add(new Rest(now, readMillis, millis));
-                time.at(readMillis, () -> table.asked(UPSTREAM, millis, time.nowMillis()));
+                time.at(readMillis, () -> table.backOffRequested(UPSTREAM, millis, time.nowMillis()));
             }
         }
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/SeededDrains.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/SeededDrains.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.suspect.VirtualTime;
 import org.apricotstack.core.upstream.DrainScenario.Faults;
 
@@ -174,8 +174,8 @@
                 return;
             }
             boolean announces = time.nowMillis() >= ANNOUNCES_FROM_MILLIS;
-            StatedDrain stated = announces ? StatedDrain.DRAINING : StatedDrain.SERVING;
-            DrainChange change = upstreams.drains().answered(LEAVING.id(), stated, sentMillis, time.nowMillis());
+            AdvertisedDrain stated = announces ? AdvertisedDrain.DRAINING : AdvertisedDrain.SERVING;
+            DrainChange change = upstreams.drains().answerReceived(LEAVING.id(), stated, sentMillis, time.nowMillis());
             if (announces) {
                 hasRead = true;
                 firstReadMillis = Math.min(firstReadMillis, time.nowMillis());
@@ -196,7 +196,7 @@
             int meant = other.incarnation;
             time.at(time.nowMillis() + 1 + upTo(4) + (lost ? ALL_NEWS_MILLIS : 0), () -> {
                 if (!other.down && other.incarnation == meant) {
-                    other.upstreams.drains().heard(LEAVING.id(), drain.announcedMillis(), time.nowMillis());
+                    other.upstreams.drains().reportedByPeer(LEAVING.id(), drain.announcedMillis(), time.nowMillis());
                 }
             });
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/UpstreamJudgeTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/UpstreamJudgeTest.java
@@ -11,7 +11,7 @@
 
     private static final UpstreamId ID = new UpstreamId("upstream");
 
-    private final UpstreamJudge judge = new UpstreamJudge();
+    private final OutlierDetector judge = new OutlierDetector();
 
     @ParameterizedTest
     @EnumSource(
@@ -48,10 +48,10 @@
      */
     @Test
     void avoidsAnUpstreamThatWasFullForAMomentAndHoldsNothingAgainstIt() {
-        long avoid = judge.wasFull(ID, 0);
+        long avoid = judge.rejectedAsFull(ID, 0);
         assertThat(judge.failureProbability(ID, avoid - 1)).isGreaterThan(0.9);
         assertThat(judge.failureProbability(ID, avoid)).isZero();
-        assertThat(judge.wasFull(ID, avoid)).isEqualTo(avoid);
+        assertThat(judge.rejectedAsFull(ID, avoid)).isEqualTo(avoid);
     }
 
     @Test
@@ -70,7 +70,7 @@
     @Test
     void sendsOneRequestToAnUpstreamWhoseAvoidanceEnded() {
         long avoid = judge.failed(ID, FailureKind.SILENT, 0);
-        judge.tried(ID, avoid);
+        judge.trialStarted(ID, avoid);
         assertThat(judge.failureProbability(ID, avoid + 1)).isGreaterThan(0.9);
         judge.succeeded(ID);
         assertThat(judge.failureProbability(ID, avoid + 1)).isLessThan(0.5);
@@ -87,7 +87,7 @@
 
     @Test
     void believesAPeerForALimitedTime() {
-        judge.heard(ID, 1_000_000, 0);
+        judge.reportedByPeer(ID, 1_000_000, 0);
         assertThat(judge.failureProbability(ID, 1_000)).isGreaterThan(0.9);
         assertThat(judge.failureProbability(ID, 10_000)).isZero();
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/UpstreamTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/UpstreamTableTest.java
@@ -61,8 +61,8 @@
         table.replaceAll(List.of(), 10, 1_000);
         assertThat(usable()).containsExactly("a", "b");
         table.put(entry("a", 12, false));
-        table.dropLapsed(1_000 + UpstreamTable.LAPSE_MILLIS);
-        assertThat(table.takeEnded()).extracting(entry -> entry.id().value()).containsExactly("b");
+        table.removeExpired(1_000 + UpstreamTable.MISSING_GRACE_MILLIS);
+        assertThat(table.takeRemoved()).extracting(entry -> entry.id().value()).containsExactly("b");
         assertThat(usable()).containsExactly("a");
     }
 
@@ -93,12 +93,12 @@
         table.put(before);
         assertThat(table.put(after)).isTrue();
         assertThat(table.usable(SERVICE)).containsExactly(after);
-        assertThat(table.takeEnded()).containsExactly(before);
-        assertThat(table.takeEnded()).isEmpty();
+        assertThat(table.takeRemoved()).containsExactly(before);
+        assertThat(table.takeRemoved()).isEmpty();
         assertThat(table.find(before.id())).isNull();
         assertThat(table.find(after.id())).isEqualTo(after);
-        assertThat(table.startedAgain(before.id())).isTrue();
-        assertThat(table.startedAgain(after.id())).isFalse();
+        assertThat(table.hasRestarted(before.id())).isTrue();
+        assertThat(table.hasRestarted(after.id())).isFalse();
     }
 
     /**
@@ -114,7 +114,7 @@
         table.replaceAll(List.of(started(100, 4)), 4, 0);
         assertThat(table.usable(SERVICE)).containsExactly(after);
         assertThat(table.remove(new UpstreamId("a"), 5)).isTrue();
-        assertThat(table.takeEnded()).containsExactly(after);
+        assertThat(table.takeRemoved()).containsExactly(after);
     }
 
     @Test
--- a/apricotstack-router/src/main/java/org/apricotstack/router/Explainer.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/Explainer.java
@@ -90,7 +90,7 @@
 
     /** Says which group would be chosen. */
     private ObjectNode decide(ObjectNode answer, AdmittedRequest request) {
-        GroupFinder.Found found = parts.finder.find(request, Set.of(), Set.of());
+        GroupFinder.Target found = parts.finder.choose(request, Set.of(), Set.of());
         if (found == null) {
             return refused(answer, RefusalReason.NO_GROUP);
         }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/LimitService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/LimitService.java
@@ -14,7 +14,7 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.limits.AccountLimiter;
 import org.apricotstack.core.limits.LeasedLimitShares;
-import org.apricotstack.core.limits.LimitHome;
+import org.apricotstack.core.limits.LimitLeaseIssuer;
 import org.apricotstack.core.membership.MemberView;
 import org.apricotstack.core.membership.RosterHost;
 import org.apricotstack.core.routing.Rendezvous;
@@ -29,7 +29,7 @@
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final HostId self;
-    private final LimitHome home;
+    private final LimitLeaseIssuer home;
     private final LeasedLimitShares shares;
     private final AccountLimiter limiter;
     private final Supplier<MemberView> views;
@@ -57,7 +57,7 @@
             MonotonicClock clock,
             Supplier<FleetConfiguration> configuration) {
         this.self = self;
-        this.home = new LimitHome(clock);
+        this.home = new LimitLeaseIssuer(clock);
         this.shares = shares;
         this.limiter = limiter;
         this.views = views;
@@ -67,10 +67,10 @@
 
     /** Asks the homes of client accounts with traffic for new leases, and forgets those without. */
     void renew() {
-        home.forgetIdle();
+        home.removeIdle();
         MemberView view = views.get();
-        Map<ClientAccountId, Long> demand = limiter.takeDemand();
-        Set<ClientAccountId> idle = new HashSet<>(shares.held());
+        Map<ClientAccountId, Long> demand = limiter.drainDemand();
+        Set<ClientAccountId> idle = new HashSet<>(shares.leasedAccounts());
         idle.removeAll(demand.keySet());
         idle.removeAll(lastActive);
         shares.forget(idle);
@@ -82,15 +82,15 @@
     private void renew(MemberView view, ClientAccountId account, long tokens) {
         List<HostId> hosts = view.usable().stream().map(RosterHost::id).toList();
         HostId homeHost = Rendezvous.first("limit/" + account, hosts);
-        long askedAt = shares.asked(account);
+        long askedAt = shares.leaseRequested(account);
         if (homeHost == null || homeHost.equals(self)) {
-            shares.grant(account, lease(account, self, tokens), askedAt);
+            shares.leaseGranted(account, lease(account, self, tokens), askedAt);
             return;
         }
         RosterHost target = view.roster().routers().get(homeHost);
         peers.leaseLimit(target, account, tokens)
                 .timeout(RENEWAL)
-                .subscribe(share -> shares.grant(account, share, askedAt), error -> {});
+                .subscribe(share -> shares.leaseGranted(account, share, askedAt), error -> {});
     }
 
     /** Grants a lease as the home of an account; the demand is that of one time between renewals. */
--- a/apricotstack-router/src/main/java/org/apricotstack/router/MembershipService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/MembershipService.java
@@ -12,7 +12,7 @@
 import org.apricotstack.core.membership.MemberView;
 import org.apricotstack.core.membership.MembershipTable;
 import org.apricotstack.core.membership.PeerProbes.ProbeAnswer;
-import org.apricotstack.core.membership.PeerProbes.ProbeNews;
+import org.apricotstack.core.membership.PeerProbes.ProbePayload;
 import org.apricotstack.core.membership.ProbeExchange;
 import org.apricotstack.core.membership.Roster;
 import org.apricotstack.core.membership.RosterHost;
@@ -89,28 +89,28 @@
 
     /** Picks routers that have not yet said that they serve. */
     synchronized List<RosterHost> toAskWhetherTheyServe(int most) {
-        return serving.unheard(view(), table, askingTurns++, most).stream()
+        return serving.unconfirmed(view(), table, askingTurns++, most).stream()
                 .filter(host -> !host.id().equals(self.host()))
                 .toList();
     }
 
     @Override
-    public ProbeNews news() {
-        return new ProbeNews(self, table.gossip(STATEMENTS), new EnumMap<>(versions.get()));
+    public ProbePayload payload() {
+        return new ProbePayload(self, table.gossip(STATEMENTS), new EnumMap<>(versions.get()));
     }
 
     @Override
-    public void take(ProbeAnswer answer) {
-        take(answer.news());
+    public void receive(ProbeAnswer answer) {
+        receive(answer.payload());
     }
 
     @Override
-    public void take(ProbeNews news) {
+    public void receive(ProbePayload news) {
         long now = clock.millis();
-        table.heardFrom(news.sender(), now);
-        serving.hear(news.sender(), !news.versions().isEmpty());
+        table.recordAlive(news.sender(), now);
+        serving.recordStatus(news.sender(), !news.versions().isEmpty());
         for (MemberRecord record : news.members()) {
-            table.hear(record, now);
+            table.merge(record, now);
         }
         versionsHeard.accept(news.sender().host(), news.versions());
     }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/PlatformWatcher.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/PlatformWatcher.java
@@ -11,7 +11,7 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.membership.MemberView;
 import org.apricotstack.core.membership.RosterHost;
-import org.apricotstack.core.replication.Applied;
+import org.apricotstack.core.replication.ApplyResult;
 import org.apricotstack.core.replication.DocumentDelta;
 import org.apricotstack.core.replication.DocumentReplica;
 import org.apricotstack.core.replication.PlatformDocuments;
@@ -137,8 +137,8 @@
      * seconds.
      */
     private boolean isProgress(DocumentDelta delta, long since) {
-        Applied applied = replication.offer(topic, delta);
-        return applied == Applied.ADOPTED || applied == Applied.STALE && delta.to() > since;
+        ApplyResult applied = replication.offer(topic, delta);
+        return applied == ApplyResult.ADOPTED || applied == ApplyResult.STALE && delta.to() > since;
     }
 
     /** Returns the version after which the platform answers; a rejected version is not to be sent at once again. */
--- a/apricotstack-router/src/main/java/org/apricotstack/router/ReplicationService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/ReplicationService.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.configuration.FleetConfiguration;
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.membership.Roster;
-import org.apricotstack.core.replication.Applied;
+import org.apricotstack.core.replication.ApplyResult;
 import org.apricotstack.core.replication.DocumentDelta;
 import org.apricotstack.core.replication.DocumentReplica;
 import org.apricotstack.core.replication.DocumentValidator;
@@ -103,16 +103,16 @@
     }
 
     /** Offers a delta and tells what became of it. */
-    Applied offer(ReplicationTopic topic, DocumentDelta delta) {
-        Applied applied = replica(topic).offer(delta);
+    ApplyResult offer(ReplicationTopic topic, DocumentDelta delta) {
+        ApplyResult applied = replica(topic).offer(delta);
         metrics.deltaApplied(topic, applied);
-        if (applied == Applied.ADOPTED) {
+        if (applied == ApplyResult.ADOPTED) {
             if (topic == ReplicationTopic.CONFIGURATION) {
                 adoptedMillis = clock.millis();
                 Logger.info("event=configuration_adopted version={}", delta.to());
             }
             onAdopted.run();
-        } else if (applied == Applied.REJECTED) {
+        } else if (applied == ApplyResult.REJECTED) {
             Logger.warn(
                     "event=version_rejected topic={} version={} first_problem=\"{}\"",
                     topic,
@@ -126,10 +126,12 @@
     void heard(HostId peer, Map<ReplicationTopic, Long> versions) {
         Long configurationVersion = versions.get(ReplicationTopic.CONFIGURATION);
         if (configurationVersion != null) {
-            gate.heardServingPeer(configurationVersion);
+            gate.recordServingPeer(configurationVersion);
         }
         versions.forEach((topic, version) -> fetch(
-                topic, planners.get(topic).heard(peer, version, replica(topic).version())));
+                topic,
+                planners.get(topic)
+                        .versionReported(peer, version, replica(topic).version())));
     }
 
     /** Fetches from a peer, if there is one to fetch from. */
@@ -147,7 +149,7 @@
     /** Ends a fetch and starts the next if one is due. */
     private void fetched(ReplicationTopic topic, HostId peer, boolean succeeded) {
         long version = replica(topic).version();
-        fetch(topic, planners.get(topic).fetched(peer, succeeded, version));
+        fetch(topic, planners.get(topic).fetchEnded(peer, succeeded, version));
     }
 
     /** Returns the time since the configuration in force was adopted, in milliseconds. */
--- a/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
@@ -103,7 +103,7 @@
         startSeeding();
         every(TICK, parts.owners::tick);
         every(LimitService.RENEWAL, parts.limits::renew);
-        every(FORGET, parts.owners::forgetOld);
+        every(FORGET, parts.owners::evictExpired);
         startHeartbeats();
         startProbes();
         startServingQuestions();
@@ -178,13 +178,13 @@
     private Mono<Void> askSeed(Address seed) {
         Duration wait = Duration.ofMillis(parts.settings.timings().probeTimeoutMillis() * 2);
         return parts.peers
-                .probeAddress(seed, parts.membership.news())
-                .filter(answer -> !answer.news().versions().isEmpty())
+                .probeAddress(seed, parts.membership.payload())
+                .filter(answer -> !answer.payload().versions().isEmpty())
                 .flatMap(answer -> Flux.fromArray(ReplicationTopic.values())
                         .concatMap(topic -> parts.peers
                                 .documentsFrom(seed, topic, 0)
                                 .doOnNext(delta -> parts.replication.offer(topic, delta)))
-                        .then(Mono.fromRunnable(() -> parts.membership.take(answer))))
+                        .then(Mono.fromRunnable(() -> parts.membership.receive(answer))))
                 .timeout(wait, parts.runtime.timer())
                 .then()
                 .onErrorResume(error -> Mono.empty());
@@ -249,7 +249,7 @@
         }
         return Flux.fromIterable(current.parts().groups().values())
                 .filter(this::isOwned)
-                .concatMap(group -> parts.caretaker.lookAfter(current, group))
+                .concatMap(group -> parts.reconciler.reconcile(current, group))
                 .then()
                 .onErrorResume(error -> Mono.empty());
     }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterAssembly.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterAssembly.java
@@ -31,12 +31,12 @@
 import org.apricotstack.core.membership.MembershipTable;
 import org.apricotstack.core.membership.RosterHost;
 import org.apricotstack.core.owner.OwnerService;
-import org.apricotstack.core.owner.UpstreamCaretaker;
+import org.apricotstack.core.owner.UpstreamReconciler;
 import org.apricotstack.core.replication.DocumentDelta;
 import org.apricotstack.core.replication.ReplicationTopic;
 import org.apricotstack.core.retry.RetryBudget;
+import org.apricotstack.core.routing.GroupLoadTable;
 import org.apricotstack.core.routing.GroupOwnership;
-import org.apricotstack.core.routing.LoadTable;
 import org.apricotstack.core.routing.PrefixAffinityGroupChooser;
 import org.apricotstack.core.ticket.TicketLedger;
 import reactor.core.publisher.Mono;
@@ -83,7 +83,7 @@
     final OwnerService owners;
 
     /** Care for engines. */
-    final UpstreamCaretaker caretaker;
+    final UpstreamReconciler reconciler;
 
     /** Tells owners of groups. */
     final GroupOwnership ownership = new GroupOwnership();
@@ -92,7 +92,7 @@
     final GroupFinder finder;
 
     /** Loads of groups. */
-    final LoadTable loads;
+    final GroupLoadTable loads;
 
     /** Requests of callers. */
     final EntryService entry;
@@ -116,7 +116,8 @@
         table = new MembershipTable(self, settings.timings().suspicionMillis());
         membership = new MembershipService(
                 self, table, replication::roster, replication::versions, replication::heard, runtime.clock());
-        peers = new GrpcPeerClient(self, TlsContexts.peerClient(settings.peerTls()), runtime.clock(), membership::news);
+        peers = new GrpcPeerClient(
+                self, TlsContexts.peerClient(settings.peerTls()), runtime.clock(), membership::payload);
         detector = new FailureDetector(
                 peers,
                 membership,
@@ -129,8 +130,8 @@
         gateway = new HttpUpstreamGateway(self);
         owners = new OwnerService(
                 replication::configuration, this::leavingUpstreams, gateway, metrics, runtime.clock(), runtime.timer());
-        caretaker = new UpstreamCaretaker(gateway, table, metrics);
-        loads = new LoadTable(runtime.clock());
+        reconciler = new UpstreamReconciler(gateway, table, metrics);
+        loads = new GroupLoadTable(runtime.clock());
         finder = new GroupFinder(
                 settings.dataCentre(),
                 membership::view,
@@ -170,14 +171,14 @@
     private final class Gate implements EntryGate {
 
         @Override
-        public RefusalReason closedBecause() {
+        public RefusalReason closedReason() {
             if (table.isReplaced()) {
                 return RefusalReason.STOPPING;
             }
             if (!replication.isOpen()) {
                 return RefusalReason.NO_CONFIGURATION;
             }
-            return stop.closedBecause();
+            return stop.closedReason();
         }
 
         @Override
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterEndpoints.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterEndpoints.java
@@ -27,11 +27,11 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.membership.MemberView;
 import org.apricotstack.core.membership.PeerProbes.ProbeAnswer;
-import org.apricotstack.core.membership.PeerProbes.ProbeNews;
+import org.apricotstack.core.membership.PeerProbes.ProbePayload;
 import org.apricotstack.core.membership.RosterHost;
 import org.apricotstack.core.replication.DocumentDelta;
 import org.apricotstack.core.replication.ReplicationTopic;
-import org.apricotstack.core.routing.EntryNaming;
+import org.apricotstack.core.routing.EntryRouterSelector;
 import org.apricotstack.core.stream.AttemptEvent;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -46,19 +46,20 @@
 
     private final RouterAssembly parts;
     private final Explainer explainer;
-    private final EntryNaming naming;
+    private final EntryRouterSelector naming;
 
     /** Creates the endpoints. */
     RouterEndpoints(RouterAssembly parts) {
         this.parts = parts;
         this.explainer = new Explainer(parts);
-        this.naming = new EntryNaming(parts.settings.dataCentre(), parts.membership::isKnownToServe, MOST_ENTRIES);
+        this.naming =
+                new EntryRouterSelector(parts.settings.dataCentre(), parts.membership::isKnownToServe, MOST_ENTRIES);
     }
 
     @Override
     public EntryAnswer entries(String callerIp) {
         MemberView view = parts.membership.view();
-        List<Address> addresses = naming.name(view, callerIp).stream()
+        List<Address> addresses = naming.select(view, callerIp).stream()
                 .map(host -> view.roster().routers().get(host).callerAddress())
                 .toList();
         return new EntryAnswer(addresses, parts.entryKeepMillis());
@@ -103,9 +104,9 @@
     }
 
     @Override
-    public ProbeAnswer probe(ProbeNews news) {
-        parts.membership.take(news);
-        return new ProbeAnswer(parts.membership.news(), parts.runtime.clock().nanos());
+    public ProbeAnswer probe(ProbePayload news) {
+        parts.membership.receive(news);
+        return new ProbeAnswer(parts.membership.payload(), parts.runtime.clock().nanos());
     }
 
     @Override
--- a/apricotstack-router/src/main/java/org/apricotstack/router/StatusReport.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/StatusReport.java
@@ -107,7 +107,7 @@
                         .put("streams", upstream.streams())
                         .put("heldTokens", upstream.heldTokens())
                         .put("leaving", upstream.leaving())
-                        .put("outOfUse", upstream.out());
+                        .put("outOfUse", upstream.ejected());
             }
         });
         return groups;
--- a/apricotstack-router/src/main/java/org/apricotstack/router/StopController.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/StopController.java
@@ -83,7 +83,7 @@
     }
 
     /** Returns why new requests are refused, or {@code null}. */
-    RefusalReason closedBecause() {
+    RefusalReason closedReason() {
         return stage.get().compareTo(Stage.LEAVING) > 0 ? RefusalReason.STOPPING : null;
     }
 
--- a/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
@@ -20,7 +20,7 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.membership.PeerProbes.ProbeAnswer;
-import org.apricotstack.core.membership.PeerProbes.ProbeNews;
+import org.apricotstack.core.membership.PeerProbes.ProbePayload;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -79,7 +79,7 @@
     }
 
     private Mono<ProbeAnswer> probe(SslContext tls) {
-        ProbeNews news = new ProbeNews(CLIENT, List.of(), Map.of());
+        ProbePayload news = new ProbePayload(CLIENT, List.of(), Map.of());
         return Mono.using(
                 () -> new GrpcPeerClient(CLIENT, tls, System::nanoTime, () -> news),
                 client -> client.probeAddress(new Address("127.0.0.1", router.peerPort()), news),
@@ -90,7 +90,7 @@
     void answersAProcessOfTheFleet() {
         ProbeAnswer answer =
                 probe(TlsContexts.peerClient(files("fleet", "fleet"))).block(Duration.ofSeconds(20));
-        assertThat(answer.news().sender()).isEqualTo(router.process());
+        assertThat(answer.payload().sender()).isEqualTo(router.process());
     }
 
     @ParameterizedTest
--- a/apricotstack-router/src/test/java/org/apricotstack/router/SpreadNode.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/SpreadNode.java
@@ -99,19 +99,19 @@
             }
             fleet.network()
                     .call(this, seed, Mono.fromSupplier(() -> seed.answer()).flux())
-                    .filter(answer -> !answer.news().versions().isEmpty())
+                    .filter(answer -> !answer.payload().versions().isEmpty())
                     .next()
                     .flatMapMany(answer -> Flux.fromArray(ReplicationTopic.values())
                             .concatMap(topic ->
                                     documents(seed, topic, 0).doOnNext(delta -> replication.offer(topic, delta)))
-                            .doOnComplete(() -> membership.take(answer)))
+                            .doOnComplete(() -> membership.receive(answer)))
                     .timeout(PROBE_TIMEOUT.multipliedBy(2), timer)
                     .subscribe(done -> {}, error -> {});
         }
     }
 
     private PeerProbes.ProbeAnswer answer() {
-        return new PeerProbes.ProbeAnswer(membership.news(), fleet.time().now(TimeUnit.NANOSECONDS));
+        return new PeerProbes.ProbeAnswer(membership.payload(), fleet.time().now(TimeUnit.NANOSECONDS));
     }
 
     private Mono<DocumentDelta> documents(SpreadNode from, ReplicationTopic topic, long since) {
@@ -170,10 +170,10 @@
     private final class Probes implements PeerProbes {
 
         @Override
-        public Mono<ProbeAnswer> probe(RosterHost target, ProbeNews news) {
+        public Mono<ProbeAnswer> probe(RosterHost target, ProbePayload news) {
             SpreadNode node = fleet.node(target.id());
             Flux<ProbeAnswer> work = Flux.defer(() -> {
-                node.membership.take(news);
+                node.membership.receive(news);
                 return Flux.just(node.answer());
             });
             return fleet.network().call(SpreadNode.this, node, work).next();
@@ -183,7 +183,7 @@
         public Mono<Boolean> probeThrough(RosterHost via, HostId target) {
             SpreadNode helper = fleet.node(via.id());
             Flux<Boolean> work = Flux.defer(() -> helper.new Probes()
-                    .probe(helper.membership.view().roster().routers().get(target), helper.membership.news())
+                    .probe(helper.membership.view().roster().routers().get(target), helper.membership.payload())
                     .timeout(PROBE_TIMEOUT, helper.timer)
                     .map(answer -> true)
                     .onErrorReturn(false));
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterOptions.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterOptions.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.apricotstack.core.id.Address;
-import org.apricotstack.serving.news.RouterIdentity;
+import org.apricotstack.serving.gossip.RouterIdentity;
 
 /**
  * What a router is started with.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterPorts.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterPorts.java
@@ -6,7 +6,7 @@
 import org.apricotstack.serving.http.HttpCalls;
 import org.apricotstack.serving.http.UpstreamProtocol;
 import org.apricotstack.serving.observe.UnknownFields;
-import org.apricotstack.serving.publication.PublicationReader;
+import org.apricotstack.serving.publication.PublicationDecoder;
 import org.apricotstack.serving.publication.PublicationSource;
 import org.apricotstack.serving.run.EngineCalls;
 
@@ -23,7 +23,7 @@
 public record RouterPorts(
         CallerProtocol callers,
         UpstreamProtocol upstreams,
-        PublicationReader reader,
+        PublicationDecoder reader,
         Function<HttpCalls, PublicationSource> source,
         Function<HttpCalls, EngineCalls> engines,
         UnknownFields unknown) {}
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
@@ -5,7 +5,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.ProcessId;
@@ -15,26 +15,26 @@
 import org.apricotstack.core.route.CallerLimits;
 import org.apricotstack.core.route.ServingConfiguration;
 import org.apricotstack.core.suspect.SuspectTable;
-import org.apricotstack.core.suspect.Suspicion;
+import org.apricotstack.core.suspect.SuspectedRequest;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.Revisions;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.core.upstream.UpstreamJudge;
 import org.apricotstack.core.upstream.UpstreamTable;
+import org.apricotstack.serving.gossip.GossipHub;
+import org.apricotstack.serving.gossip.GossipServer;
+import org.apricotstack.serving.gossip.HeartbeatPort;
+import org.apricotstack.serving.gossip.RouterIdentity;
 import org.apricotstack.serving.http.CallerServer;
 import org.apricotstack.serving.http.HttpCalls;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.http.UpstreamConnections;
-import org.apricotstack.serving.news.HeartbeatPort;
-import org.apricotstack.serving.news.NewsHub;
-import org.apricotstack.serving.news.NewsServer;
-import org.apricotstack.serving.news.RouterIdentity;
 import org.apricotstack.serving.observe.DecisionLog;
 import org.apricotstack.serving.observe.ServingMetrics;
 import org.apricotstack.serving.publication.PublicationFollower;
 import org.apricotstack.serving.publication.PublishedState;
-import org.apricotstack.serving.run.RequestRuns;
+import org.apricotstack.serving.run.RequestDispatcher;
 import org.apricotstack.serving.run.RetryBudgets;
-import org.apricotstack.serving.run.RunContext;
+import org.apricotstack.serving.run.ServingContext;
 
 /** A router: takes callers, chooses upstreams, follows the platform, and shares news with the other routers. */
 public final class ServingRouter implements AutoCloseable {
@@ -64,12 +64,12 @@
     private final PublishedState state;
     private final PublicationFollower follower;
     private final UpstreamConnections connections;
-    private final NewsHub hub;
-    private final RequestRuns runs;
+    private final GossipHub hub;
+    private final RequestDispatcher runs;
     private final CallerServer callers;
     private final StopSequence stop;
     private RouterIdentity identity;
-    private NewsServer newsServer;
+    private GossipServer newsServer;
     private HeartbeatPort heartbeatPort;
     private long sweptMillis;
 
@@ -87,8 +87,8 @@
         this.log = log;
         UniformRandomProvider random = random(options.identity().process());
         UpstreamTable upstreams = new UpstreamTable();
-        UpstreamJudge judge = new UpstreamJudge();
-        EngineBoard board = new EngineBoard();
+        OutlierDetector judge = new OutlierDetector();
+        EngineLoadTable board = new EngineLoadTable();
         state = new PublishedState(ports.reader(), upstreams, judge, board, log);
         state.whenEnded(this::upstreamEnded);
         connections = new UpstreamConnections(loop);
@@ -96,7 +96,7 @@
         follower = new PublicationFollower(
                 loop, ports.source().apply(calls), state, log, random, this::platformReaders, this::mustReadPlatform);
         suspects = new SuspectTable(options.identity().process(), this::causeFound);
-        hub = new NewsHub(
+        hub = new GossipHub(
                 loop,
                 peers,
                 board,
@@ -110,7 +110,7 @@
                 this::ready,
                 follower::reads,
                 follower::restartIfSilent);
-        RunContext context = new RunContext(
+        ServingContext context = new ServingContext(
                 options.identity().process(),
                 options.identity().dataCentre(),
                 loop,
@@ -131,15 +131,15 @@
                 new ByteBudget((long) (options.memoryBytes() * BODY_SHARE)),
                 log,
                 metrics);
-        runs = new RequestRuns(context);
-        hub.suspects().whenHeard(runs::heardOfEnd);
-        state.whenServingAgain(runs::servingAgain);
+        runs = new RequestDispatcher(context);
+        hub.suspects().onCrashReported(runs::upstreamCrashReported);
+        state.whenServingAgain(runs::drainEnded);
         callers = new CallerServer(
                 loop, ports.callers(), runs, this::limits, (int) (options.mostSockets() * CALLER_SHARE));
         stop = new StopSequence(loop, options.stopMillis(), callers, runs, hub, log);
         addGauges(board, upstreams);
         metrics.gauge("fields.unknown", ports.unknown()::size);
-        metrics.gauge("fields.unknown_met", ports.unknown()::met);
+        metrics.gauge("fields.unknown_met", ports.unknown()::count);
     }
 
     /** Creates random numbers of this process; the library's factory would load all of its generators first. */
@@ -149,9 +149,9 @@
     }
 
     /** Adds what is read when somebody asks. */
-    private void addGauges(EngineBoard board, UpstreamTable upstreams) {
+    private void addGauges(EngineLoadTable board, UpstreamTable upstreams) {
         metrics.gauge("requests.open", runs::open);
-        metrics.gauge("requests.not_proper", callers::refusedRequests);
+        metrics.gauge("requests.not_proper", callers::malformedRequests);
         metrics.gauge("engines.placements", board::size);
         metrics.gauge("upstreams.connections_opened", connections::opened);
         metrics.gauge("platform.calls", follower::calls);
@@ -165,8 +165,8 @@
         metrics.gauge("upstreams.revision", () -> Revisions.inHistory(state.upstreamsRevision()));
         metrics.gauge("documents.rejected", state::rejected);
         metrics.gauge("routers.known", hub::knownRouters);
-        metrics.gauge("routers.told_of_placements", hub::newsReceivers);
-        metrics.gauge("placements.heard", hub::placementsHeard);
+        metrics.gauge("routers.told_of_placements", hub::placementReceivers);
+        metrics.gauge("placements.heard", hub::placementsReceived);
         metrics.gauge("suspects.known", suspects::size);
         metrics.gauge("suspects.causes", suspects::causes);
         metrics.gauge("suspects.dropped", suspects::dropped);
@@ -189,7 +189,7 @@
      */
     public RouterIdentity start() {
         RouterIdentity asked = options.identity();
-        newsServer = new NewsServer(loop, asked.peerAddress(), hub);
+        newsServer = new GossipServer(loop, asked.peerAddress(), hub);
         identity = new RouterIdentity(
                 asked.process(),
                 asked.dataCentre(),
@@ -197,12 +197,12 @@
                 new Address(asked.peerAddress().ip(), newsServer.port()),
                 asked.capacityPercent());
         heartbeatPort = new HeartbeatPort(loop, identity.peerAddress());
-        options.seeds().forEach(peers::mention);
+        options.seeds().forEach(peers::addAddress);
         sweptMillis = loop.nowMillis();
         loop.execute(() -> {
             follower.start();
             hub.start(identity, heartbeatPort);
-            loop.every(SWEEP_MILLIS, this::sweep);
+            loop.scheduleWithFixedDelay(SWEEP_MILLIS, this::sweep);
         });
         return identity;
     }
@@ -219,17 +219,17 @@
 
     /** Drops what leads to a start of an upstream that is over. */
     private void upstreamEnded(UpstreamEntry entry) {
-        connections.closeKept(entry.address());
+        connections.closeIdleTo(entry.address());
         if (state.isOver(entry.id())) {
-            runs.startedAgain(entry);
+            runs.upstreamRestarted(entry);
         }
     }
 
     /** Writes down that a request was found to be the cause of its upstreams' ends. */
-    private void causeFound(Suspicion suspicion) {
+    private void causeFound(SuspectedRequest suspicion) {
         log.line("cause_found")
                 .put("content", suspicion.request().toString())
-                .put("ends", suspicion.endings().size())
+                .put("ends", suspicion.crashes().size())
                 .put("upstreams", suspicion.upstreams())
                 .put("since_millis", loop.nowMillis() - suspicion.sinceMillis())
                 .put("refused_millis", SuspectTable.REFUSED_MILLIS)
@@ -246,12 +246,12 @@
             follower.readAgain();
         }
         follower.look();
-        state.dropLapsed(now);
+        state.removeExpired(now);
         suspects.expire(now);
         runs.expire(!follower.away());
         hub.limits().expire();
         hub.tellNewReadings();
-        callers.checkTimes();
+        callers.closeTimedOut();
         connections.closeExpired();
     }
 
@@ -285,8 +285,8 @@
      *
      * @param addresses the addresses
      */
-    public void learnOf(List<Address> addresses) {
-        addresses.forEach(peers::mention);
+    public void addSeedAddresses(List<Address> addresses) {
+        addresses.forEach(peers::addAddress);
     }
 
     /**
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/StopSequence.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/StopSequence.java
@@ -1,10 +1,10 @@
 package org.apricotstack.serving;
 
+import org.apricotstack.serving.gossip.GossipHub;
 import org.apricotstack.serving.http.CallerServer;
 import org.apricotstack.serving.http.ServingLoop;
-import org.apricotstack.serving.news.NewsHub;
 import org.apricotstack.serving.observe.DecisionLog;
-import org.apricotstack.serving.run.RequestRuns;
+import org.apricotstack.serving.run.RequestDispatcher;
 
 /**
  * Stops a router without losing requests.
@@ -24,13 +24,13 @@
     /** Left of the time to stop in when the process ends in any case, in milliseconds. */
     private static final long MARGIN_MILLIS = 300;
 
-    private static final long LOOK_MILLIS = 100;
+    private static final long RECHECK_MILLIS = 100;
 
     private final ServingLoop loop;
     private final long stopMillis;
     private final CallerServer callers;
-    private final RequestRuns runs;
-    private final NewsHub hub;
+    private final RequestDispatcher runs;
+    private final GossipHub hub;
     private final DecisionLog log;
     private boolean begun;
     private boolean idleClosed;
@@ -39,7 +39,12 @@
 
     /** Creates a sequence that was not begun. */
     StopSequence(
-            ServingLoop loop, long stopMillis, CallerServer callers, RequestRuns runs, NewsHub hub, DecisionLog log) {
+            ServingLoop loop,
+            long stopMillis,
+            CallerServer callers,
+            RequestDispatcher runs,
+            GossipHub hub,
+            DecisionLog log) {
         this.loop = loop;
         this.stopMillis = stopMillis;
         this.callers = callers;
@@ -87,6 +92,6 @@
             whenDone.run();
             return;
         }
-        loop.schedule(LOOK_MILLIS, this::look);
+        loop.schedule(RECHECK_MILLIS, this::look);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/PeerDocuments.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DocumentExchange.java
@@ -1,10 +1,10 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.peer.CatchUp;
 import org.apricotstack.core.peer.Peer;
+import org.apricotstack.core.peer.PeerFetchPolicy;
 import org.apricotstack.core.upstream.Revisions;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -15,17 +15,17 @@
 import org.apricotstack.wire.news.NewsReply;
 
 /** Asks peers for published documents that the platform did not tell this router, and answers theirs. */
-final class PeerDocuments {
+final class DocumentExchange {
 
     private final ServingLoop loop;
     private final PublishedState state;
     private final DecisionLog log;
     private final Runnable whenBehind;
-    private final CatchUp catchUp = new CatchUp();
+    private final PeerFetchPolicy catchUp = new PeerFetchPolicy();
     private boolean needsWhole;
 
     /** Creates the exchange of documents. */
-    PeerDocuments(ServingLoop loop, PublishedState state, DecisionLog log, Runnable whenBehind) {
+    DocumentExchange(ServingLoop loop, PublishedState state, DecisionLog log, Runnable whenBehind) {
         this.loop = loop;
         this.state = state;
         this.log = log;
@@ -34,7 +34,7 @@
 
     /** Takes in what a peer knows, and tells whether to ask it now. */
     boolean isToAsk(Peer peer, long behindMillis) {
-        return catchUp.shouldAsk(
+        return catchUp.shouldFetch(
                 peer, state.configurationVersion(), state.upstreamsRevision(), behindMillis, loop.nowMillis());
     }
 
@@ -42,11 +42,11 @@
     boolean listsOthers(Peer reader, int listed) {
         return reader.upstreamsRevision() == state.upstreamsRevision()
                 && listed != state.upstreamsListed()
-                && catchUp.mayAsk(loop.nowMillis());
+                && catchUp.mayFetch(loop.nowMillis());
     }
 
     /** Asks a peer for what it knows and this router does not. */
-    void ask(Peer peer, NewsLink link, EncodedFrame greeting) {
+    void ask(Peer peer, OutboundGossipStream link, EncodedFrame greeting) {
         // One revision less than known, as a list may differ at the same revision.
         long known = Math.max(0, state.upstreamsRevision() - 1);
         NewsFrame request = NewsFrame.newBuilder()
@@ -56,7 +56,7 @@
                         .setNewerOnly(known > 0 && !needsWhole))
                 .build();
         if (link.ask(greeting, request)) {
-            catchUp.asked(loop.nowMillis());
+            catchUp.fetchStarted(loop.nowMillis());
             log.line("peer_asked")
                     .put("peer", peer.process().host().value())
                     .put("peer_configuration", peer.configurationVersion())
@@ -72,7 +72,7 @@
     NewsReply answer(DocumentRequest request) {
         NewsReply.Builder reply = NewsReply.newBuilder();
         if (state.configurationVersion() > request.getConfigurationVersion()) {
-            reply.setConfiguration(NewsMessages.document(state.configurationDocument()));
+            reply.setConfiguration(GossipMessages.document(state.configurationDocument()));
         }
         if (state.upstreamsRevision() > request.getUpstreamsRevision()) {
             reply.setUpstreamsRevision(state.upstreamsRevision());
@@ -81,7 +81,7 @@
                     reply.addUpstreamNames(upstream.upstream().value());
                 }
                 if (!request.getNewerOnly() || upstream.revision() > request.getUpstreamsRevision()) {
-                    reply.addUpstreams(NewsMessages.document(upstream));
+                    reply.addUpstreams(GossipMessages.document(upstream));
                 }
             }
         }
@@ -91,13 +91,14 @@
     /** Takes in what a peer answered. */
     void take(NewsReply reply, String source) {
         if (reply.hasConfiguration()) {
-            state.take(NewsMessages.publication(reply.getConfiguration()), source);
+            state.take(GossipMessages.publication(reply.getConfiguration()), source);
         }
         if (reply.getUpstreamsRevision() == 0 || reply.getUpstreamsRevision() < state.upstreamsRevision()) {
             return;
         }
-        List<Publication> upstreams =
-                reply.getUpstreamsList().stream().map(NewsMessages::publication).toList();
+        List<Publication> upstreams = reply.getUpstreamsList().stream()
+                .map(GossipMessages::publication)
+                .toList();
         if (reply.getUpstreamNamesCount() > 0) {
             List<UpstreamId> names =
                     reply.getUpstreamNamesList().stream().map(UpstreamId::new).toList();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/DrainChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DrainChannel.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.function.Supplier;
 
@@ -26,13 +26,13 @@
 
     private final ServingLoop loop;
     private final DrainTable table;
-    private final NewsPeers peers;
+    private final GossipPeers peers;
     private final DecisionLog log;
     private final Supplier<NewsFrame.Builder> news;
 
     /** Creates a channel; the news are the frame that is sent at the end of this turn of the loop. */
     DrainChannel(
-            ServingLoop loop, DrainTable table, NewsPeers peers, DecisionLog log, Supplier<NewsFrame.Builder> news) {
+            ServingLoop loop, DrainTable table, GossipPeers peers, DecisionLog log, Supplier<NewsFrame.Builder> news) {
         this.loop = loop;
         this.table = table;
         this.peers = peers;
@@ -106,7 +106,8 @@
         }
         long now = loop.nowMillis();
         long atMillis = now - Math.max(0, notice.getAgoMillis());
-        DrainChange change = notice.getEnded() ? table.ended(upstream, atMillis) : table.heard(upstream, atMillis, now);
+        DrainChange change =
+                notice.getEnded() ? table.ended(upstream, atMillis) : table.reportedByPeer(upstream, atMillis, now);
         if (change != DrainChange.NONE) {
             log.line(change == DrainChange.BEGAN ? "drain_announced" : "drain_ended")
                     .put("upstream", upstream.value())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/EncodedFrame.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/EncodedFrame.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/FleetLimitPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/FleetLimitPeers.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
-import org.apricotstack.core.ratelimit.KeeperChoice;
+import org.apricotstack.core.ratelimit.PermitIssuerSelector;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.publication.PublishedState;
 import org.apricotstack.wire.news.NewsFrame;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public KeeperChoice keeperOf(UpstreamId upstream) {
+    public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
         long now = loop.nowMillis();
         List<HostId> deciding = new ArrayList<>();
         List<HostId> others = new ArrayList<>();
@@ -70,10 +70,10 @@
         if (ready.getAsBoolean()) {
             (heartbeats.takesCallers() ? deciding : others).add(own);
         }
-        KeeperChoice kept =
-                KeeperChoice.of(upstream, deciding.isEmpty() ? others : deciding, peers.silentDeciding(now));
-        boolean unsure = own.equals(kept.host()) && !start.heardOthers(knownRouters.getAsInt(), now);
-        return unsure ? new KeeperChoice(null, kept.share()) : kept;
+        PermitIssuerSelector kept = PermitIssuerSelector.of(
+                upstream, deciding.isEmpty() ? others : deciding, peers.silentEntryRouterCount(now));
+        boolean unsure = own.equals(kept.host()) && !start.hasPeerPlacements(knownRouters.getAsInt(), now);
+        return unsure ? new PermitIssuerSelector(null, kept.share()) : kept;
     }
 
     @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsChannels.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipFraming.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.function.Supplier;
 
@@ -17,14 +17,14 @@
  * <p>A gRPC stream carried the same messages at several times the cost: most routers live for less than a minute of
  * processor time, in which its HTTP/2 layers run uncompiled.
  */
-final class NewsChannels {
+final class GossipFraming {
 
     /** Longest message, in bytes; a configuration has a megabyte at most, and a list of upstreams comes beside it. */
     private static final int MOST_MESSAGE_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
-    private NewsChannels() {}
+    private GossipFraming() {}
 
     /** Creates what prepares a connection on which one type of message arrives. */
     static ChannelInitializer<Channel> initializer(MessageLite arriving, Supplier<ChannelInboundHandler> taker) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsSink.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHandler.java
@@ -1,11 +1,11 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.wire.news.DocumentRequest;
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.NewsReply;
 
 /** Takes what other routers tell; called on the event loop. */
-public interface NewsSink {
+public interface GossipHandler {
 
     /**
      * Takes a frame.
@@ -13,7 +13,7 @@
      * @param frame the frame
      * @param stream the stream that it came on, which knows its sender
      */
-    void frame(NewsFrame frame, NewsStream stream);
+    void frame(NewsFrame frame, InboundGossipStream stream);
 
     /**
      * Answers a request for documents.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsHub.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHub.java
@@ -1,10 +1,10 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.function.BooleanSupplier;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.engine.EnginePlacement;
-import org.apricotstack.core.engine.OpenPlacements;
+import org.apricotstack.core.engine.InFlightPlacements;
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.HostId;
@@ -12,45 +12,45 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
-import org.apricotstack.core.peer.PlatformReaders;
+import org.apricotstack.core.peer.PlatformReaderSelection;
 import org.apricotstack.core.peer.RequestRate;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.suspect.SuspectTable;
 import org.apricotstack.core.upstream.DrainTable;
-import org.apricotstack.core.upstream.UpstreamJudge;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
 import org.apricotstack.serving.publication.PublishedState;
-import org.apricotstack.serving.run.PlacementNews;
+import org.apricotstack.serving.run.PlacementGossip;
 import org.apricotstack.wire.news.DocumentRequest;
 import org.apricotstack.wire.news.Heartbeat;
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.NewsReply;
 
 /** Sends this router's news to all others and takes theirs in. */
-public final class NewsHub implements NewsSink, PlacementNews, AutoCloseable {
+public final class GossipHub implements GossipHandler, PlacementGossip, AutoCloseable {
 
     /** Addresses in the first heartbeat of a router from which on it need not be told of others: more than seeds. */
     private static final int KNOWS_FEW = 5;
 
     private final ServingLoop loop;
     private final PeerTable peers;
-    private final EngineBoard board;
+    private final EngineLoadTable board;
     private final PublishedState state;
     private final DecisionLog log;
-    private final PeerDocuments documents;
-    private final NewsLinks links;
-    private final PeerLog heardLog;
+    private final DocumentExchange documents;
+    private final OutboundGossipStreams links;
+    private final MembershipLog heardLog;
     private final FleetLimitPeers limitPeers;
-    private final UpstreamNews upstreams;
+    private final UpstreamGossip upstreams;
     private final RequestRate requests;
-    private final OpenPlacements open = new OpenPlacements();
+    private final InFlightPlacements open = new InFlightPlacements();
     private final StartPhase start;
-    private final PlacementIntake placements;
+    private final PlacementReceiver placements;
     private final BooleanSupplier ready;
     private final BooleanSupplier readsPlatform;
     private HeartbeatSender heartbeats;
-    private PlatformNews readings;
+    private PlatformGossip readings;
     private NewsFrame.Builder pending;
     private long spanMillis;
     private boolean closed;
@@ -72,11 +72,11 @@
      * @param readsPlatform whether the platform answers this router, and it follows
      * @param whenBehind called when peers know more than the platform told here
      */
-    public NewsHub(
+    public GossipHub(
             ServingLoop loop,
             PeerTable peers,
-            EngineBoard board,
-            UpstreamJudge judge,
+            EngineLoadTable board,
+            OutlierDetector judge,
             SuspectTable suspects,
             LimitTable limits,
             DrainTable drains,
@@ -93,14 +93,14 @@
         this.log = log;
         this.ready = ready;
         this.readsPlatform = readsPlatform;
-        this.documents = new PeerDocuments(loop, state, log, whenBehind);
-        this.links = new NewsLinks(loop, peers, this::allNews);
-        this.heardLog = new PeerLog(log);
+        this.documents = new DocumentExchange(loop, state, log, whenBehind);
+        this.links = new OutboundGossipStreams(loop, peers, this::allNews);
+        this.heardLog = new MembershipLog(log);
         this.start = new StartPhase(loop.nowMillis());
-        this.placements = new PlacementIntake(board, judge, state, start);
+        this.placements = new PlacementReceiver(board, judge, state, start);
         this.limitPeers = new FleetLimitPeers(loop, own, peers, state, start, ready, this::knownRouters);
-        this.upstreams = new UpstreamNews(
-                new SuspectChannel(loop, suspects, log, this::news, this::decidingPeers),
+        this.upstreams = new UpstreamGossip(
+                new SuspectChannel(loop, suspects, log, this::news, this::activePeers),
                 new LimitChannel(loop, limits, limitPeers, log, this::news),
                 new DrainChannel(loop, drains, limitPeers, log, this::news));
         this.spanMillis = loop.nowMillis();
@@ -116,14 +116,15 @@
     public void start(RouterIdentity identity, HeartbeatPort port) {
         port.take(this::datagram);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, ready, requests, readsPlatform);
-        peers.mention(identity.peerAddress());
+        peers.addAddress(identity.peerAddress());
         heartbeats = new HeartbeatSender(
                 this, own, peers, links, port, start, identity.peerAddress(), this::intervalMillis, upstreams::any);
         upstreams.suspects().tellThrough(heartbeats);
         limitPeers.tellThrough(heartbeats, port);
-        readings = new PlatformNews(loop, this, state, documents, links, heartbeats, readsPlatform, this::knownRouters);
+        readings =
+                new PlatformGossip(loop, this, state, documents, links, heartbeats, readsPlatform, this::knownRouters);
         beat();
-        loop.every(PlatformReaders.BEAT_MILLIS, readings::tell);
+        loop.scheduleWithFixedDelay(PlatformReaderSelection.HEARTBEAT_MILLIS, readings::tell);
     }
 
     /** Tells the routers of this data centre at once if more of the platform is known than they were told of. */
@@ -159,7 +160,7 @@
         heardLog.note(peers.alive(now));
         if (now - spanMillis >= StartPhase.HEARTBEAT_MILLIS) {
             spanMillis = now;
-            requests.endSpan(now);
+            requests.endInterval(now);
         }
         heartbeats.beat(now);
         loop.schedule(intervalMillis(), this::beat);
@@ -195,11 +196,11 @@
 
     /** Takes a datagram in. */
     private void datagram(NewsFrame frame, Address sender) {
-        take(frame, new NewsStream(), sender);
+        take(frame, new InboundGossipStream(), sender);
     }
 
     @Override
-    public void frame(NewsFrame frame, NewsStream stream) {
+    public void frame(NewsFrame frame, InboundGossipStream stream) {
         if (!loop.loop().inEventLoop()) {
             loop.execute(() -> frame(frame, stream));
             return;
@@ -208,7 +209,7 @@
     }
 
     /** Takes news in; the sender is {@code null} if they came over a stream. */
-    private void take(NewsFrame frame, NewsStream stream, Address sender) {
+    private void take(NewsFrame frame, InboundGossipStream stream, Address sender) {
         try {
             if (frame.hasHeartbeat() && heartbeats != null) {
                 takeHeartbeat(frame.getHeartbeat(), stream);
@@ -224,20 +225,20 @@
     }
 
     /** Takes a heartbeat in. */
-    private void takeHeartbeat(Heartbeat beat, NewsStream stream) {
+    private void takeHeartbeat(Heartbeat beat, InboundGossipStream stream) {
         long now = loop.nowMillis();
         ProcessId process = new ProcessId(new HostId(beat.getHost()), beat.getIncarnation());
         stream.sender(process);
-        Peer peer = NewsMessages.peer(process, beat);
+        Peer peer = GossipMessages.peer(process, beat);
         boolean isNew = links.heard(peer);
-        ProcessId before = peers.heartbeat(peer, now);
+        ProcessId before = peers.recordHeartbeat(peer, now);
         if (before != null) {
             removeProcess(before, now);
         }
-        beat.getPeerAddressesList().forEach(address -> peers.mention(Address.parse(address)));
+        beat.getPeerAddressesList().forEach(address -> peers.addAddress(Address.parse(address)));
         readings.heard(peer, beat.getReadsPlatform(), beat.getUpstreamsListed());
         if (!heartbeats.takesCallers()) {
-            beat.getSilentHostsList().forEach(host -> peers.toldSilent(new HostId(host), now));
+            beat.getSilentHostsList().forEach(host -> peers.reportedSilent(new HostId(host), now));
         }
         heartbeats.openTo(peer);
         if (isNew && beat.getPeerAddressesCount() < KNOWS_FEW) {
@@ -260,12 +261,12 @@
         requests.count();
         open.place(placement, limitMillis, loop.nowMillis());
         heartbeats.placed();
-        news().addPlaced(NewsMessages.placed(placement, limitMillis));
+        news().addPlaced(GossipMessages.placed(placement, limitMillis));
     }
 
     @Override
-    public void writing(EnginePlacement placement) {
-        open.startWriting(placement.id());
+    public void decodeStarted(EnginePlacement placement) {
+        open.startDecoding(placement.id());
         news().addWriting(placement.id().number());
     }
 
@@ -277,7 +278,7 @@
 
     @Override
     public void avoided(UpstreamId upstream, long avoidMillis) {
-        news().addAvoided(NewsMessages.avoided(upstream, avoidMillis));
+        news().addAvoided(GossipMessages.avoided(upstream, avoidMillis));
     }
 
     @Override
@@ -286,16 +287,16 @@
     }
 
     @Override
-    public boolean heardOthers() {
-        return start.heardOthers(knownRouters(), loop.nowMillis());
+    public boolean hasPeerPlacements() {
+        return start.hasPeerPlacements(knownRouters(), loop.nowMillis());
     }
 
     /** Writes all that is open and suspected, for a router that missed news. */
     private NewsFrame allNews() {
         NewsFrame.Builder frame = NewsFrame.newBuilder().setWhole(true);
-        for (OpenPlacements.Open one : open.at(loop.nowMillis())) {
-            frame.addPlaced(NewsMessages.placed(one.placement(), one.limitMillis()));
-            if (one.writing()) {
+        for (InFlightPlacements.Entry one : open.at(loop.nowMillis())) {
+            frame.addPlaced(GossipMessages.placed(one.placement(), one.limitMillis()));
+            if (one.decoding()) {
                 frame.addWriting(one.placement().id().number());
             }
         }
@@ -360,7 +361,7 @@
      *
      * @return routers
      */
-    public int newsReceivers() {
+    public int placementReceivers() {
         return links.openToDeciding();
     }
 
@@ -369,7 +370,7 @@
      *
      * @return routers
      */
-    public int decidingPeers() {
+    public int activePeers() {
         return links.deciding();
     }
 
@@ -387,7 +388,7 @@
      *
      * @return placements since the start
      */
-    public long placementsHeard() {
+    public long placementsReceived() {
         return placements.heard();
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipMessages.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 
@@ -19,9 +19,9 @@
 import org.apricotstack.wire.news.PublishedDocument;
 
 /** Translates between what routers tell each other and the types of the core. */
-final class NewsMessages {
+final class GossipMessages {
 
-    private NewsMessages() {}
+    private GossipMessages() {}
 
     /** Reads what a router says of itself. */
     static Peer peer(ProcessId process, Heartbeat beat) {
@@ -53,7 +53,7 @@
                 .setCapacityPercent(own.capacityPercent())
                 .setRequestsPerSecond((float) own.requestsPerSecond())
                 .setTakesCallers(own.takesCallers())
-                .setNextMillis((int) own.nextMillis());
+                .setNextMillis((int) own.nextHeartbeatMillis());
     }
 
     /** Reads a placement of another router. */
@@ -77,14 +77,14 @@
         Placed.Builder placed = Placed.newBuilder()
                 .setNumber(placement.id().number())
                 .setContextTokens(placement.contextTokens())
-                .setPauseTargetMillis(placement.pauseTargetMillis())
+                .setPauseTargetMillis(placement.tokenGapTargetMillis())
                 .setTargetLatencyMillis(placement.targetLatencyMillis())
                 .setLimitMillis(limitMillis);
         for (EnginePart part : placement.parts()) {
             placed.addParts(Part.newBuilder()
                     .setEngine(part.engine().value())
                     .setIncarnation(part.engine().incarnation())
-                    .setReadMillis(part.readMillis())
+                    .setReadMillis(part.prefillMillis())
                     .setMemoryTokens(part.memoryTokens()));
         }
         return placed.build();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipPeers.java
@@ -1,10 +1,10 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.wire.news.NewsFrame;
 
 /** What news of upstreams need of the other routers. */
-interface NewsPeers {
+interface GossipPeers {
 
     /** Returns how many other routers there are. */
     int others();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsServer.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipServer.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.net.InetSocketAddress;
 
@@ -19,11 +19,11 @@
 import org.apricotstack.wire.news.NewsFrame;
 
 /** Takes the streams of other routers. */
-public final class NewsServer implements AutoCloseable {
+public final class GossipServer implements AutoCloseable {
 
     private static final byte[] EMPTY_REPLY = {};
 
-    private final NewsSink sink;
+    private final GossipHandler sink;
     private final Channel listening;
     private final ChannelGroup streams;
     private long malformed;
@@ -36,7 +36,7 @@
      * @param sink takes the news
      * @throws ApricotException with {@link ErrorCode#ENVIRONMENT} if the address cannot be used
      */
-    public NewsServer(ServingLoop loop, Address address, NewsSink sink) {
+    public GossipServer(ServingLoop loop, Address address, GossipHandler sink) {
         this.sink = sink;
         streams = new DefaultChannelGroup(loop.loop());
         ChannelFuture bound = new ServerBootstrap()
@@ -45,7 +45,7 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
-                .childHandler(NewsChannels.initializer(NewsFrame.getDefaultInstance(), Receiver::new))
+                .childHandler(GossipFraming.initializer(NewsFrame.getDefaultInstance(), Receiver::new))
                 .bind(new InetSocketAddress(address.ip(), address.port()))
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -84,7 +84,7 @@
     /** Takes one stream. */
     private final class Receiver extends SimpleChannelInboundHandler<NewsFrame> {
 
-        private final NewsStream stream = new NewsStream();
+        private final InboundGossipStream stream = new InboundGossipStream();
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/HeartbeatPort.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatPort.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
@@ -21,7 +21,8 @@
  * Sends and takes heartbeats, and questions for permits, as datagrams, so that a large fleet needs no connection
  * between any two of its routers.
  *
- * <p>A datagram may be lost; the next heartbeat makes up for it. What must arrive goes over a {@link NewsLink}.
+ * <p>A datagram may be lost; the next heartbeat makes up for it. What must arrive goes over an
+ * {@link OutboundGossipStream}.
  */
 public final class HeartbeatPort implements AutoCloseable {
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/HeartbeatSender.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatSender.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
@@ -38,10 +38,10 @@
      */
     private static final int DISTANT_BEATS = 48;
 
-    private final NewsSink sink;
+    private final GossipHandler sink;
     private final OwnHeartbeat own;
     private final PeerTable peers;
-    private final NewsLinks links;
+    private final OutboundGossipStreams links;
     private final HeartbeatPort port;
     private final StartPhase start;
     private final Address ownAddress;
@@ -54,10 +54,10 @@
 
     /** Creates a sender that has told nobody. */
     HeartbeatSender(
-            NewsSink sink,
+            GossipHandler sink,
             OwnHeartbeat own,
             PeerTable peers,
-            NewsLinks links,
+            OutboundGossipStreams links,
             HeartbeatPort port,
             StartPhase start,
             Address ownAddress,
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsStream.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/InboundGossipStream.java
@@ -1,9 +1,9 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.ProcessId;
 
 /** A stream of news that another router sends here. */
-public final class NewsStream {
+public final class InboundGossipStream {
 
     private ProcessId sender;
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/LimitChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -12,15 +12,15 @@
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.limits.TokenBucket;
-import org.apricotstack.core.ratelimit.KeeperChoice;
 import org.apricotstack.core.ratelimit.LimitChange;
-import org.apricotstack.core.ratelimit.LimitKeeping;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.PermitGrant;
+import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.ratelimit.PermitIssuerService;
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
-import org.apricotstack.serving.run.LimitNews;
+import org.apricotstack.serving.run.LimitGossip;
 import org.apricotstack.wire.news.NamedLimit;
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.PermitReply;
@@ -33,7 +33,7 @@
  * silent holds none of them up. One that is lost costs a permit at most. Upstreams may name a new limit with each
  * answer, so the bytes are bounded: what is told of limits and what is asked have an allowance each.
  */
-public final class LimitChannel implements LimitNews {
+public final class LimitChannel implements LimitGossip {
 
     /** Time for an answer of a keeper, in milliseconds; data centres of a region are a few milliseconds apart. */
     private static final long ANSWER_MILLIS = 120;
@@ -56,7 +56,7 @@
 
     private final ServingLoop loop;
     private final LimitTable table;
-    private final LimitKeeping keeping;
+    private final PermitIssuerService keeping;
     private final LimitPeers peers;
     private final DecisionLog log;
     private final Supplier<NewsFrame.Builder> news;
@@ -92,7 +92,7 @@
         this.peers = peers;
         this.log = log;
         this.news = news;
-        this.keeping = new LimitKeeping(peers.own(), table, peers::keeperOf, loop::nowMillis);
+        this.keeping = new PermitIssuerService(peers.own(), table, peers::permitIssuerOf, loop::nowMillis);
         this.told = new TokenBucket(MOST_TOLD_BYTES, nowNanos());
         this.permits = new TokenBucket(MOST_PERMIT_BYTES, nowNanos());
     }
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void told(UpstreamId upstream, LimitChange change, RateLimit limit) {
+    public void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit) {
         long now = loop.nowMillis();
         boolean ended = change == LimitChange.ENDED;
         Long lastMillis = toldMillis.get(upstream);
@@ -129,7 +129,7 @@
             return;
         }
         NamedLimit message = ended
-                ? LimitMessages.ended(upstream, limit.namedMillis(), now)
+                ? LimitMessages.ended(upstream, limit.advertisedMillis(), now)
                 : LimitMessages.named(upstream, limit, now);
         if (mayTell(message)) {
             toldMillis.put(upstream, now);
@@ -153,21 +153,21 @@
         }
         long now = loop.nowMillis();
         table.all().entrySet().stream()
-                .sorted(Comparator.comparingLong(entry -> -entry.getValue().namedMillis()))
+                .sorted(Comparator.comparingLong(entry -> -entry.getValue().advertisedMillis()))
                 .limit(MOST_TOLD_AT_ONCE)
                 .forEach(entry -> frame.addLimits(LimitMessages.named(entry.getKey(), entry.getValue(), now)));
     }
 
     @Override
-    public String keeperOf(UpstreamId upstream) {
-        KeeperChoice kept = keeping.keeperOf(upstream);
+    public String permitIssuerOf(UpstreamId upstream) {
+        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
         return kept.host() == null ? null : kept.host().value();
     }
 
     @Override
     public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-        KeeperChoice kept = keeping.keeperOf(upstream);
-        if (keeping.isOwn(kept)) {
+        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
+        if (keeping.isThisRouter(kept)) {
             then.accept(keeping.answer(upstream, wanted, 0));
             return;
         }
@@ -183,8 +183,8 @@
 
     @Override
     public void charge(UpstreamId upstream, RateLimit limit, int requests) {
-        KeeperChoice kept = keeping.keeperOf(upstream);
-        if (keeping.isOwn(kept)) {
+        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
+        if (keeping.isThisRouter(kept)) {
             keeping.answer(upstream, 0, requests);
         } else {
             send(
@@ -201,7 +201,7 @@
     }
 
     /** Sends a question to a keeper, if it can be reached. */
-    private boolean send(KeeperChoice kept, PermitRequest request) {
+    private boolean send(PermitIssuerSelector kept, PermitRequest request) {
         Address address = kept.host() == null ? null : peers.addressOf(kept.host());
         if (address == null || !maySend(request)) {
             return false;
@@ -241,8 +241,9 @@
         }
         long now = loop.nowMillis();
         RateLimit limit = LimitMessages.limit(named, now);
-        LimitChange change =
-                named.getEnded() ? table.ended(upstream, limit.namedMillis()) : table.heard(upstream, limit);
+        LimitChange change = named.getEnded()
+                ? table.ended(upstream, limit.advertisedMillis())
+                : table.reportedByPeer(upstream, limit);
         if (change != LimitChange.NONE) {
             log.line("limit_" + change.code())
                     .put("upstream", upstream.value())
@@ -250,7 +251,7 @@
                     .put("per_second", Double.toString(limit.perSecond()))
                     .put("ago_millis", named.getAgoMillis())
                     .put("source", source)
-                    .put("keeper", keeperOf(upstream))
+                    .put("keeper", permitIssuerOf(upstream))
                     .write();
         }
     }
@@ -325,6 +326,6 @@
      * @return upstreams
      */
     public int kept() {
-        return keeping.kept();
+        return keeping.issuedLimits();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/LimitMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitMessages.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.ratelimit.RateLimit;
@@ -15,7 +15,7 @@
                 .setUpstream(upstream.value())
                 .setIncarnation(upstream.incarnation())
                 .setPerSecond(limit.perSecond())
-                .setAgoMillis(Math.max(0, nowMillis - limit.namedMillis()))
+                .setAgoMillis(Math.max(0, nowMillis - limit.advertisedMillis()))
                 .build();
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/PeerLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/MembershipLog.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.Collection;
 import java.util.HashSet;
@@ -9,13 +9,13 @@
 import org.apricotstack.serving.observe.DecisionLog;
 
 /** Writes down which routers are heard again or no longer. */
-final class PeerLog {
+final class MembershipLog {
 
     private final DecisionLog log;
     private final Set<HostId> believedAlive = new HashSet<>();
 
     /** Creates a log that has heard of nobody. */
-    PeerLog(DecisionLog log) {
+    MembershipLog(DecisionLog log) {
         this.log = log;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsLink.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStream.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
@@ -25,7 +25,7 @@
  * a router that had been restarted counted 70 placements where 40 were open, for eight seconds. So a link that missed
  * something sends all that is open as soon as it can send again, and the peer forgets the rest.
  */
-final class NewsLink implements AutoCloseable {
+final class OutboundGossipStream implements AutoCloseable {
 
     /** Time without an answer after which the connection is given up, in milliseconds. */
     private static final long SILENT_MILLIS = 1_800;
@@ -38,7 +38,7 @@
 
     private final ServingLoop loop;
     private final Address address;
-    private final NewsSink sink;
+    private final GossipHandler sink;
     private final Supplier<NewsFrame> allNews;
     private final Runnable whenEnded;
     private long silentMillis = SILENT_MILLIS;
@@ -50,7 +50,8 @@
     private boolean missed = true;
 
     /** Creates a link that is not open. */
-    NewsLink(ServingLoop loop, Address address, NewsSink sink, Supplier<NewsFrame> allNews, Runnable whenEnded) {
+    OutboundGossipStream(
+            ServingLoop loop, Address address, GossipHandler sink, Supplier<NewsFrame> allNews, Runnable whenEnded) {
         this.loop = loop;
         this.address = address;
         this.sink = sink;
@@ -139,7 +140,7 @@
                 .group(loop.group())
                 .channel(loop.clientChannel())
                 .option(ChannelOption.TCP_NODELAY, true)
-                .handler(NewsChannels.initializer(NewsReply.getDefaultInstance(), Replies::new))
+                .handler(GossipFraming.initializer(NewsReply.getDefaultInstance(), Replies::new))
                 .connect(new InetSocketAddress(address.ip(), address.port()));
         Channel mine = connecting.channel();
         channel = mine;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/NewsLinks.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStreams.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -14,25 +14,27 @@
 import org.apricotstack.wire.news.NewsFrame;
 
 /** The streams of news to all other routers, and what each of those wants to hear. */
-final class NewsLinks implements AutoCloseable {
+final class OutboundGossipStreams implements AutoCloseable {
 
     private final ServingLoop loop;
     private final PeerTable peers;
     private final Supplier<NewsFrame> allNews;
-    private final Map<Address, NewsLink> links = new HashMap<>();
+    private final Map<Address, OutboundGossipStream> links = new HashMap<>();
     private final Map<Address, Peer> heard = new HashMap<>();
 
     /** Creates links to nobody; a peer that missed news is told of all that is open. */
-    NewsLinks(ServingLoop loop, PeerTable peers, Supplier<NewsFrame> allNews) {
+    OutboundGossipStreams(ServingLoop loop, PeerTable peers, Supplier<NewsFrame> allNews) {
         this.loop = loop;
         this.peers = peers;
         this.allNews = allNews;
     }
 
     /** Returns the link to a router; a stream that ends tells at once that its peer stopped or was cut. */
-    NewsLink open(Address address, NewsSink sink) {
+    OutboundGossipStream open(Address address, GossipHandler sink) {
         return links.computeIfAbsent(
-                address, to -> new NewsLink(loop, to, sink, allNews, () -> peers.unreachable(to, loop.nowMillis())));
+                address,
+                to -> new OutboundGossipStream(
+                        loop, to, sink, allNews, () -> peers.connectionLost(to, loop.nowMillis())));
     }
 
     /** Notes what a router said of itself; tells whether it was not heard before. */
@@ -109,7 +111,7 @@
 
     /** Tells whether news can be sent to the router at an address. */
     boolean isOpen(Address address) {
-        NewsLink link = links.get(address);
+        OutboundGossipStream link = links.get(address);
         return link != null && link.isOpen();
     }
 
@@ -122,7 +124,7 @@
 
     @Override
     public void close() {
-        links.values().forEach(NewsLink::close);
+        links.values().forEach(OutboundGossipStream::close);
         links.clear();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/OwnHeartbeat.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OwnHeartbeat.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -119,11 +119,11 @@
 
     /** Writes a heartbeat that tells some addresses. */
     private EncodedFrame frame(boolean takesCallers, long nextMillis, List<Address> addresses) {
-        Heartbeat.Builder beat = NewsMessages.heartbeat(peer(takesCallers, nextMillis))
+        Heartbeat.Builder beat = GossipMessages.heartbeat(peer(takesCallers, nextMillis))
                 .setReadsPlatform(readsPlatform.getAsBoolean())
                 .setUpstreamsListed(state.upstreamsListed());
         if (takesCallers) {
-            peers.silent(MOST_SILENT, loop.nowMillis()).forEach(host -> beat.addSilentHosts(host.value()));
+            peers.suspectedHosts(MOST_SILENT, loop.nowMillis()).forEach(host -> beat.addSilentHosts(host.value()));
         }
         addresses.forEach(address -> beat.addPeerAddresses(address.toString()));
         return EncodedFrame.of(NewsFrame.newBuilder().setHeartbeat(beat).build());
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/PlatformNews.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/PlatformGossip.java
@@ -1,17 +1,17 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 
-import org.apricotstack.core.peer.CatchUp;
 import org.apricotstack.core.peer.EntryRouters;
 import org.apricotstack.core.peer.Peer;
-import org.apricotstack.core.peer.PlatformReaders;
+import org.apricotstack.core.peer.PeerFetchPolicy;
+import org.apricotstack.core.peer.PlatformReaderSelection;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.publication.PublishedState;
 
 /** Shares among the routers of a data centre what one of them reads of the platform. */
-final class PlatformNews {
+final class PlatformGossip {
 
     /**
      * Time in which a router that stands by gathers changes of the platform, in milliseconds. A release of 22 upstreams
@@ -21,23 +21,23 @@
     static final long STAND_BY_GATHER_MILLIS = 600;
 
     private final ServingLoop loop;
-    private final NewsSink sink;
+    private final GossipHandler sink;
     private final PublishedState state;
-    private final PeerDocuments documents;
-    private final NewsLinks links;
+    private final DocumentExchange documents;
+    private final OutboundGossipStreams links;
     private final HeartbeatSender heartbeats;
     private final BooleanSupplier readsPlatform;
     private final IntSupplier knownRouters;
-    private final PlatformReaders readers = new PlatformReaders();
-    private final ToldReadings told = new ToldReadings();
+    private final PlatformReaderSelection readers = new PlatformReaderSelection();
+    private final ReportedPlatformState told = new ReportedPlatformState();
 
     /** Creates the share of a router that reads by itself. */
-    PlatformNews(
+    PlatformGossip(
             ServingLoop loop,
-            NewsSink sink,
+            GossipHandler sink,
             PublishedState state,
-            PeerDocuments documents,
-            NewsLinks links,
+            DocumentExchange documents,
+            OutboundGossipStreams links,
             HeartbeatSender heartbeats,
             BooleanSupplier readsPlatform,
             IntSupplier knownRouters) {
@@ -53,7 +53,7 @@
 
     /** Tells whether the fleet is so large that its routers share what they read. */
     private boolean isShared() {
-        return EntryRouters.isLarge(knownRouters.getAsInt());
+        return EntryRouters.isLargeFleet(knownRouters.getAsInt());
     }
 
     /** Tells the routers of this data centre what is known of the platform, if they rely on this one for it. */
@@ -77,7 +77,7 @@
 
     /** Tells whether this router has to follow the platform itself. */
     boolean mustRead() {
-        return !isShared() || readers.mustRead(heartbeats.peer(), loop.nowMillis());
+        return !isShared() || readers.mustReadPlatform(heartbeats.peer(), loop.nowMillis());
     }
 
     /**
@@ -86,12 +86,13 @@
      */
     void heard(Peer peer, boolean reads, int upstreamsListed) {
         long now = loop.nowMillis();
-        readers.heard(peer, reads, now);
+        readers.recordHeartbeat(peer, reads, now);
         boolean relies = !mustRead();
         boolean isReader = relies && readers.reliesOn(heartbeats.peer(), peer, now);
-        long readerMillis = isReader ? 0 : PlatformReaders.BEAT_MILLIS;
+        long readerMillis = isReader ? 0 : PlatformReaderSelection.HEARTBEAT_MILLIS;
         long gatherMillis = isShared() && !heartbeats.takesCallers() ? STAND_BY_GATHER_MILLIS : 0;
-        boolean behind = documents.isToAsk(peer, gatherMillis + (relies ? readerMillis : CatchUp.BEHIND_MILLIS));
+        boolean behind =
+                documents.isToAsk(peer, gatherMillis + (relies ? readerMillis : PeerFetchPolicy.PLATFORM_GRACE_MILLIS));
         if (behind || isReader && documents.listsOthers(peer, upstreamsListed)) {
             documents.ask(peer, links.open(peer.peerAddress(), sink), heartbeats.greeting());
         }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/ToldReadings.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/ReportedPlatformState.java
@@ -1,7 +1,7 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 /** What a reader of the platform told the routers of its data centre last. */
-final class ToldReadings {
+final class ReportedPlatformState {
 
     private long configurationVersion;
     private long upstreamsRevision;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/RouterIdentity.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/RouterIdentity.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/StartPhase.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/StartPhase.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -45,7 +45,7 @@
     }
 
     /** Tells whether all known routers, this one among them, have told their placements, or would have by now. */
-    boolean heardOthers(int knownRouters, long nowMillis) {
+    boolean hasPeerPlacements(int knownRouters, long nowMillis) {
         return !isYoung(nowMillis) || toldBy.size() >= knownRouters - 1;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/SuspectChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectChannel.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -10,13 +10,13 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.limits.TokenBucket;
+import org.apricotstack.core.suspect.ObservedCrash;
 import org.apricotstack.core.suspect.RequestDigest;
-import org.apricotstack.core.suspect.SeenEnd;
 import org.apricotstack.core.suspect.SuspectTable;
-import org.apricotstack.core.suspect.Suspicion;
+import org.apricotstack.core.suspect.SuspectedRequest;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
-import org.apricotstack.serving.run.SuspectNews;
+import org.apricotstack.serving.run.SuspectGossip;
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.RequestHashes;
 import org.apricotstack.wire.news.Trial;
@@ -29,7 +29,7 @@
  * requests that were in flight. So the bytes are bounded: what is told of a request under which only one upstream ended
  * yet has an allowance of its own, and is dropped first. What is dropped is counted and stays known here.
  */
-public final class SuspectChannel implements SuspectNews {
+public final class SuspectChannel implements SuspectGossip {
 
     /** Bytes a second that each of the two allowances gains; control has 2,000 a second for everything. */
     private static final double BYTES_PER_SECOND = 300;
@@ -48,7 +48,7 @@
     private final TokenBucket first;
     private final TokenBucket repeated;
     private HeartbeatSender sender;
-    private Consumer<RequestDigest> whenHeard = request -> {};
+    private Consumer<RequestDigest> onCrashReported = request -> {};
     private long heard;
     private long dropped;
 
@@ -86,8 +86,8 @@
      *
      * @param action takes the request
      */
-    public void whenHeard(Consumer<RequestDigest> action) {
-        whenHeard = action;
+    public void onCrashReported(Consumer<RequestDigest> action) {
+        onCrashReported = action;
     }
 
     /** Reads the clock. */
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void ended(
+    public void upstreamCrashed(
             UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun, boolean isRepeated) {
         UpstreamEnded ended = SuspectMessages.ended(upstream, requests, begun);
         if (mayTell(isRepeated ? repeated : first, ended)) {
@@ -114,9 +114,9 @@
     }
 
     @Override
-    public void tellAll(Suspicion suspicion) {
+    public void broadcast(SuspectedRequest suspicion) {
         NewsFrame.Builder frame = NewsFrame.newBuilder();
-        suspicion.endings().forEach(told -> frame.addUpstreamEnded(SuspectMessages.ended(suspicion.request(), told)));
+        suspicion.crashes().forEach(told -> frame.addUpstreamEnded(SuspectMessages.ended(suspicion.request(), told)));
         NewsFrame built = frame.build();
         if (mayTell(repeated, built)) {
             sender.sendToStandBy(EncodedFrame.of(built));
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void trying(RequestDigest request, UpstreamId upstream, long limitMillis) {
+    public void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis) {
         Trial trial = SuspectMessages.trial(request, upstream, limitMillis);
         if (mayTell(first, trial)) {
             news.get().addTrials(trial);
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void tried(RequestDigest request) {
+    public void trialEnded(RequestDigest request) {
         RequestHashes hashes = SuspectMessages.hashes(request);
         if (mayTell(first, hashes)) {
             news.get().addTrialsEnded(hashes);
@@ -154,9 +154,9 @@
 
     /** Adds what is known to a frame for a router that missed news. */
     void addAll(NewsFrame.Builder frame) {
-        for (Suspicion suspicion : table.list(MOST_TOLD_AT_ONCE, loop.nowMillis())) {
+        for (SuspectedRequest suspicion : table.list(MOST_TOLD_AT_ONCE, loop.nowMillis())) {
             suspicion
-                    .endings()
+                    .crashes()
                     .forEach(told -> frame.addUpstreamEnded(SuspectMessages.ended(suspicion.request(), told)));
         }
     }
@@ -176,11 +176,11 @@
         if (teller != null) {
             for (Trial trial : frame.getTrialsList()) {
                 RequestDigest request = SuspectMessages.digest(trial.getRequest());
-                table.tryBegun(request, teller, SuspectMessages.upstream(trial), now + trial.getLimitMillis());
+                table.trialStarted(request, teller, SuspectMessages.upstream(trial), now + trial.getLimitMillis());
             }
-            frame.getTrialsEndedList().forEach(hashes -> table.tryEnded(SuspectMessages.digest(hashes), teller, now));
+            frame.getTrialsEndedList().forEach(hashes -> table.trialEnded(SuspectMessages.digest(hashes), teller, now));
         }
-        frame.getServedList().forEach(hashes -> table.served(SuspectMessages.digest(hashes)));
+        frame.getServedList().forEach(hashes -> table.requestServed(SuspectMessages.digest(hashes)));
     }
 
     /** Takes in that an upstream ended under a request at another router. */
@@ -190,7 +190,7 @@
         UpstreamId upstream = SuspectMessages.upstream(ended);
         long atMillis = now - Math.max(0, ended.getAgoMillis());
         ProcessId seenBy = ended.getAgoMillis() == 0 ? teller : null;
-        if (!table.ended(request, new SeenEnd(upstream, begun, atMillis), seenBy, now)) {
+        if (!table.upstreamCrashed(request, new ObservedCrash(upstream, begun, atMillis), seenBy, now)) {
             return;
         }
         heard++;
@@ -202,7 +202,7 @@
                 .put("ago_millis", ended.getAgoMillis())
                 .put("source", teller == null ? "datagram" : teller.host().value())
                 .write();
-        whenHeard.accept(request);
+        onCrashReported.accept(request);
     }
 
     /**
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/SuspectMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectMessages.java
@@ -1,10 +1,10 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.suspect.RequestDigest;
-import org.apricotstack.core.suspect.Suspicion;
+import org.apricotstack.core.suspect.SuspectedRequest;
 import org.apricotstack.wire.news.RequestHashes;
 import org.apricotstack.wire.news.Trial;
 import org.apricotstack.wire.news.UpstreamEnded;
@@ -37,12 +37,12 @@
     }
 
     /** Writes the end of an upstream under one request, which happened some time ago. */
-    static UpstreamEnded ended(RequestDigest request, Suspicion.Told told) {
+    static UpstreamEnded ended(RequestDigest request, SuspectedRequest.ReportedCrash told) {
         UpstreamEnded.Builder ended = UpstreamEnded.newBuilder()
                 .setUpstream(told.upstream().value())
                 .setIncarnation(told.upstream().incarnation())
-                .setAgoMillis(told.agoMillis());
-        return (told.begun() ? ended.addBegun(hashes(request)) : ended.addRequests(hashes(request))).build();
+                .setAgoMillis(told.ageMillis());
+        return (told.answerStarted() ? ended.addBegun(hashes(request)) : ended.addRequests(hashes(request))).build();
     }
 
     /** Reads which upstream ended. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/news/UpstreamNews.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/UpstreamGossip.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.ProcessId;
@@ -11,7 +11,7 @@
  * @param limits rate limits that upstreams named
  * @param drains drains that upstreams announced
  */
-record UpstreamNews(SuspectChannel suspects, LimitChannel limits, DrainChannel drains) {
+record UpstreamGossip(SuspectChannel suspects, LimitChannel limits, DrainChannel drains) {
 
     /** Tells whether anything is known of which the other routers have to hear. */
     boolean any() {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
@@ -38,7 +38,7 @@
     private final Deque<Object> held = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private CallerExchange exchange;
-    private CallerRun run;
+    private CallerRequestListener run;
     private CompositeByteBuf body;
     private long bodyBytes;
     private boolean bodyWhole = true;
@@ -181,10 +181,10 @@
 
     /** Refuses a body that turned out to be too long. */
     private void refuseBody() {
-        CallerRun ended = run;
+        CallerRequestListener ended = run;
         run = null;
         if (ended != null) {
-            ended.left();
+            ended.disconnected();
         }
         if (exchange.ended()) {
             abort();
@@ -267,7 +267,7 @@
     }
 
     /** Ends what callers take too long for. */
-    void checkTimes(long nowMillis) {
+    void closeTimedOut(long nowMillis) {
         long silence = nowMillis - lastMillis;
         boolean late;
         if (exchange == null) {
@@ -324,7 +324,7 @@
     /** Ends the run of a caller that left. */
     private void leave() {
         dropBody();
-        CallerRun ended = run;
+        CallerRequestListener ended = run;
         CallerExchange open = exchange;
         run = null;
         exchange = null;
@@ -332,7 +332,7 @@
         if (open != null && !open.ended()) {
             open.leave();
             if (ended != null) {
-                ended.left();
+                ended.disconnected();
             }
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerHandler.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerHandler.java
@@ -11,5 +11,5 @@
      * @param exchange takes the answer, possibly at once
      * @return takes what follows
      */
-    CallerRun open(CallerRequest request, CallerExchange exchange);
+    CallerRequestListener open(CallerRequest request, CallerExchange exchange);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRequestListener.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 
 /** What is done for one request of a caller; called on the event loop. */
-public interface CallerRun {
+public interface CallerRequestListener {
 
     /**
      * Takes the whole body; not called if the request was answered before it came.
@@ -13,7 +13,7 @@
     void body(ByteBuf body);
 
     /** Says that the caller left and no answer can reach it. */
-    void left();
+    void disconnected();
 
     /** Says that the caller reads again after it was too slow. */
     void writable();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
@@ -135,10 +135,10 @@
     }
 
     /** Ends what callers take too long for. */
-    public void checkTimes() {
+    public void closeTimedOut() {
         long now = loop.nowMillis();
         for (CallerConnection connection : List.copyOf(connections)) {
-            connection.checkTimes(now);
+            connection.closeTimedOut(now);
         }
     }
 
@@ -174,7 +174,7 @@
      *
      * @return requests since the start
      */
-    public long refusedRequests() {
+    public long malformedRequests() {
         return refused;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/IgnoredRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/DiscardingRequestListener.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 
 /** The run of a request that was answered before its body came. */
-public enum IgnoredRun implements CallerRun {
+public enum DiscardingRequestListener implements CallerRequestListener {
     /** Keeps nothing, so one serves all. */
     INSTANCE;
 
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void left() {
+    public void disconnected() {
         // Nothing runs that could be ended.
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/Forwarding.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ForwardingParameters.java
@@ -15,7 +15,7 @@
  * @param helpers upstreams that help to read the prompt
  * @param lastEventId event after which the stream goes on, or {@code null}
  */
-public record Forwarding(
+public record ForwardingParameters(
         UpstreamEntry upstream,
         long remainingMillis,
         ClientAccountId account,
@@ -24,7 +24,7 @@
         String lastEventId) {
 
     /** Copies the list. */
-    public Forwarding {
+    public ForwardingParameters {
         helpers = List.copyOf(helpers);
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
@@ -43,7 +43,7 @@
      * @param headers the headers
      * @param body the body
      */
-    public record Answer(int status, HttpHeaders headers, byte[] body) {}
+    public record Response(int status, HttpHeaders headers, byte[] body) {}
 
     /**
      * Makes a call when subscribed to.
@@ -55,7 +55,7 @@
      * @param fresh whether a new connection is asked for
      * @return the answer, or an {@link ApricotException}
      */
-    public Mono<Answer> call(Address address, HttpRequest request, byte[] body, long timeoutMillis, boolean fresh) {
+    public Mono<Response> call(Address address, HttpRequest request, byte[] body, long timeoutMillis, boolean fresh) {
         return call(address, request, body, timeoutMillis, fresh, head -> {});
     }
 
@@ -70,7 +70,7 @@
      * @param whenBegun takes status and headers of the answer, whatever becomes of the rest
      * @return the answer, or an {@link ApricotException}
      */
-    public Mono<Answer> call(
+    public Mono<Response> call(
             Address address,
             HttpRequest request,
             byte[] body,
@@ -100,7 +100,7 @@
 
     /** Collects an answer. */
     private static final class Taker implements UpstreamListener {
-        private final MonoSink<Answer> sink;
+        private final MonoSink<Response> sink;
         private final Address address;
         private final Consumer<HttpResponse> whenBegun;
         private final ByteBuf body = Unpooled.buffer();
@@ -109,14 +109,14 @@
         private ScheduledFuture<?> timeout;
 
         /** Creates a taker. */
-        private Taker(MonoSink<Answer> sink, Address address, Consumer<HttpResponse> whenBegun) {
+        private Taker(MonoSink<Response> sink, Address address, Consumer<HttpResponse> whenBegun) {
             this.sink = sink;
             this.address = address;
             this.whenBegun = whenBegun;
         }
 
         @Override
-        public void head(AnswerHead head, HttpResponse raw) {
+        public void head(ResponseHead head, HttpResponse raw) {
             status = head.status();
             headers = raw.headers();
             whenBegun.accept(raw);
@@ -130,7 +130,7 @@
         @Override
         public void end() {
             stopTimeout();
-            sink.success(new Answer(status, headers, ByteBufUtil.getBytes(body)));
+            sink.success(new Response(status, headers, ByteBufUtil.getBytes(body)));
         }
 
         @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/PlainProtocol.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/PlainProtocol.java
@@ -15,13 +15,13 @@
     private static final long MILLIS_PER_SECOND = 1_000;
 
     @Override
-    public HttpRequest write(CallerRequest request, int bodyBytes, Forwarding forwarding) {
+    public HttpRequest write(CallerRequest request, int bodyBytes, ForwardingParameters forwarding) {
         throw new UnsupportedOperationException("Requests of callers are written by the platform's protocol.");
     }
 
     @Override
-    public AnswerHead read(HttpResponse head) {
-        return new AnswerHead(
+    public ResponseHead read(HttpResponse head) {
+        return new ResponseHead(
                 head.status().code(),
                 null,
                 false,
@@ -61,7 +61,7 @@
      * @param name the header's name
      * @return whether it stays behind
      */
-    public static boolean concernsConnection(CharSequence name) {
+    public static boolean isHopByHop(CharSequence name) {
         return HttpHeaderNames.CONNECTION.contentEqualsIgnoreCase(name)
                 || "Keep-Alive".contentEquals(name)
                 || HttpHeaderNames.TRANSFER_ENCODING.contentEqualsIgnoreCase(name)
@@ -79,11 +79,11 @@
      * @param headers the headers as they came
      * @return the headers that a caller gets
      */
-    public static HttpHeaders passedOn(HttpHeaders headers) {
+    public static HttpHeaders withoutHopByHop(HttpHeaders headers) {
         HttpHeaders copy =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
         headers.iteratorCharSequence().forEachRemaining(header -> {
-            if (!concernsConnection(header.getKey())) {
+            if (!isHopByHop(header.getKey())) {
                 copy.add(header.getKey(), header.getValue());
             }
         });
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/AnswerHead.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ResponseHead.java
@@ -17,7 +17,7 @@
  * @param notice what it says of the upstream itself
  * @param idleMillis time for which the upstream keeps the connection, in milliseconds; 0 if it does not say
  */
-public record AnswerHead(
+public record ResponseHead(
         int status,
         String requestId,
         boolean sealed,
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ServingLoop.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ServingLoop.java
@@ -76,7 +76,7 @@
      * @param periodMillis time between two runs, in milliseconds
      * @param task what to run
      */
-    public void every(long periodMillis, Runnable task) {
+    public void scheduleWithFixedDelay(long periodMillis, Runnable task) {
         loop().scheduleWithFixedDelay(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/StrictRequestDecoder.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/StrictRequestDecoder.java
@@ -8,7 +8,7 @@
  * Decodes requests and refuses those whose length is said twice.
  *
  * <p>A request with both a length and chunks is read differently by different programs; what one takes for the rest
- * of its body, another takes for a second request. Forwarding it would let a caller hide a request inside another.
+ * of its body, another takes for a second request. Passing it on would let a caller hide a request inside another.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
@@ -56,7 +56,7 @@
     }
 
     /** Tells whether an answer belongs to this call. */
-    boolean isAnsweredBy(AnswerHead answer) {
+    boolean isAnsweredBy(ResponseHead answer) {
         return requestId == null || answer.requestId() == null || requestId.equals(answer.requestId());
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
@@ -27,7 +27,7 @@
     private final Address address;
     private ChannelHandlerContext context;
     private UpstreamCall call;
-    private AnswerHead answer;
+    private ResponseHead answer;
     private boolean skipping;
     private boolean informational;
     private boolean framed;
@@ -113,7 +113,7 @@
         if (informational) {
             return;
         }
-        AnswerHead read = call.protocol().read(head);
+        ResponseHead read = call.protocol().read(head);
         skipping = !call.isAnsweredBy(read);
         framed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
         if (skipping) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
@@ -206,7 +206,7 @@
      *
      * @param address the address
      */
-    public void closeKept(Address address) {
+    public void closeIdleTo(Address address) {
         Deque<UpstreamConnection> kept = idle.remove(address);
         if (kept != null) {
             List.copyOf(kept).forEach(UpstreamConnection::close);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
@@ -22,14 +22,14 @@
      * @param head what it says
      * @param raw status and headers as sent
      */
-    void head(AnswerHead head, HttpResponse raw);
+    void head(ResponseHead head, HttpResponse raw);
 
     /**
      * Takes the beginning of an answer to an earlier request, which came late over the same connection and is skipped.
      *
      * @param head what it says
      */
-    default void late(AnswerHead head) {}
+    default void late(ResponseHead head) {}
 
     /**
      * Takes a piece of the body.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamProtocol.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamProtocol.java
@@ -14,7 +14,7 @@
      * @param forwarding what is said beside it
      * @return line and headers
      */
-    HttpRequest write(CallerRequest request, int bodyBytes, Forwarding forwarding);
+    HttpRequest write(CallerRequest request, int bodyBytes, ForwardingParameters forwarding);
 
     /**
      * Reads the beginning of an answer.
@@ -22,5 +22,5 @@
      * @param head status and headers
      * @return what they say
      */
-    AnswerHead read(HttpResponse head);
+    ResponseHead read(HttpResponse head);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/ServingMetrics.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/ServingMetrics.java
@@ -15,7 +15,7 @@
 import com.codahale.metrics.MetricRegistry;
 import com.codahale.metrics.SlidingTimeWindowArrayReservoir;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedBackOff;
+import org.apricotstack.core.notice.AdvertisedBackOff;
 import org.apricotstack.core.ratelimit.LimitChange;
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.core.route.RequestKind;
@@ -41,12 +41,12 @@
     private final Counter limitsUnreadable = registry.counter("limits.unreadable");
     private final Counter drainsAnnounced = registry.counter("drains.announced");
     private final Counter drainsUnreadable = registry.counter("drains.unreadable");
-    private final Map<StatedBackOff.Kind, Counter> backOffs =
-            counters(StatedBackOff.Kind.class, kind -> "back_offs." + lower(kind));
+    private final Map<AdvertisedBackOff.Kind, Counter> backOffs =
+            counters(AdvertisedBackOff.Kind.class, kind -> "back_offs." + lower(kind));
     private volatile int backOffsInForce;
     private final Map<RequestKind, Histogram> firstByte = new EnumMap<>(RequestKind.class);
     private final Histogram predictionError = histogram("placement.first_event_error_millis");
-    private final Histogram longestPause = histogram("streams.longest_pause_millis");
+    private final Histogram longestTokenGap = histogram("streams.longest_pause_millis");
 
     /** Creates the metrics. */
     public ServingMetrics() {
@@ -182,7 +182,7 @@
      *
      * @param kind whether it could be read
      */
-    public void backOff(StatedBackOff.Kind kind) {
+    public void backOff(AdvertisedBackOff.Kind kind) {
         backOffs.get(kind).inc();
     }
 
@@ -219,8 +219,8 @@
      *
      * @param millis the pause, in milliseconds
      */
-    public void longestPause(long millis) {
-        longestPause.update(millis);
+    public void longestTokenGap(long millis) {
+        longestTokenGap.update(millis);
     }
 
     /**
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/UnknownFields.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/UnknownFields.java
@@ -19,7 +19,7 @@
 
     private final DecisionLog log;
     private final Set<String> names = new LinkedHashSet<>();
-    private long met;
+    private long count;
 
     /**
      * Creates a list of no names.
@@ -36,8 +36,8 @@
      * @param place where it stands, such as {@code answer}
      * @param name the name
      */
-    public void met(String place, String name) {
-        met++;
+    public void count(String place, String name) {
+        count++;
         String shortened = Ascii.truncate(name, MOST_NAME_LETTERS, "...");
         if (names.size() < MOST_NAMES && names.add(place + " " + shortened)) {
             log.line("field_unknown").put("place", place).put("name", shortened).write();
@@ -58,7 +58,7 @@
      *
      * @return times since the start
      */
-    public long met() {
-        return met;
+    public long count() {
+        return count;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/ConfigurationInForce.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/CurrentConfiguration.java
@@ -11,16 +11,16 @@
  * <p>The operators' versions decide, not the platform's revisions: after the platform came back from an older copy an
  * older version has a greater revision, and a version that was in force once never goes back.
  */
-final class ConfigurationInForce {
+final class CurrentConfiguration {
 
-    private final PublicationReader reader;
+    private final PublicationDecoder reader;
     private final DecisionLog log;
     private ServingConfiguration decoded;
     private Publication document;
     private long notTakenRevision;
 
     /** Creates a state without a configuration. */
-    ConfigurationInForce(PublicationReader reader, DecisionLog log) {
+    CurrentConfiguration(PublicationDecoder reader, DecisionLog log) {
         this.reader = reader;
         this.log = log;
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationReader.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationDecoder.java
@@ -5,7 +5,7 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 
 /** Decodes published documents. */
-public interface PublicationReader {
+public interface PublicationDecoder {
 
     /**
      * Decodes a configuration.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
@@ -10,13 +10,13 @@
 import java.util.function.Consumer;
 
 import com.google.common.base.Ascii;
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.route.ServingConfiguration;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.Revisions;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.core.upstream.UpstreamJudge;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.observe.DecisionLog;
 
@@ -33,12 +33,12 @@
     /** Longest problem that is written down, in characters: a foreign document may be quoted in it. */
     private static final int MOST_PROBLEM_LETTERS = 200;
 
-    private final PublicationReader reader;
+    private final PublicationDecoder reader;
     private final DecisionLog log;
-    private final ConfigurationInForce configuration;
+    private final CurrentConfiguration configuration;
     private final UpstreamTable upstreams;
-    private final UpstreamJudge judge;
-    private final EngineBoard board;
+    private final OutlierDetector judge;
+    private final EngineLoadTable board;
     private final Map<UpstreamId, Publication> upstreamDocuments = new HashMap<>();
     private final Set<UpstreamId> rejectedUpstreams = new HashSet<>();
     private Consumer<UpstreamEntry> whenEnded = ended -> {};
@@ -56,17 +56,17 @@
      * @param log takes changes
      */
     public PublishedState(
-            PublicationReader reader,
+            PublicationDecoder reader,
             UpstreamTable upstreams,
-            UpstreamJudge judge,
-            EngineBoard board,
+            OutlierDetector judge,
+            EngineLoadTable board,
             DecisionLog log) {
         this.reader = reader;
         this.upstreams = upstreams;
         this.judge = judge;
         this.board = board;
         this.log = log;
-        this.configuration = new ConfigurationInForce(reader, log);
+        this.configuration = new CurrentConfiguration(reader, log);
     }
 
     /**
@@ -227,18 +227,18 @@
     /** Forgets what is kept of upstreams that are gone or have started again. */
     private void forgetEnded(String source) {
         upstreams.takeServingAgain().forEach(whenServingAgain);
-        for (UpstreamId doubted : upstreams.takeDoubted()) {
+        for (UpstreamId doubted : upstreams.takeUnconfirmed()) {
             log.line("upstream_doubted")
                     .put("upstream", doubted.value())
                     .put("incarnation", doubted.incarnation())
                     .put("source", source)
                     .write();
         }
-        List<UpstreamEntry> ended = upstreams.takeEnded();
+        List<UpstreamEntry> ended = upstreams.takeRemoved();
         for (UpstreamEntry entry : ended) {
-            boolean startedAgain = upstreams.lists(entry.id());
+            boolean startedAgain = upstreams.isListed(entry.id());
             if (!startedAgain) {
-                upstreamDocuments.remove(entry.id().anyStart());
+                upstreamDocuments.remove(entry.id().withoutIncarnation());
             }
             whenEnded.accept(entry);
             log.line(startedAgain ? "upstream_started_again" : "upstream_gone")
@@ -357,8 +357,8 @@
      *
      * @param nowMillis the time
      */
-    public void dropLapsed(long nowMillis) {
-        upstreams.dropLapsed(nowMillis);
+    public void removeExpired(long nowMillis) {
+        upstreams.removeExpired(nowMillis);
         forgetEnded("lapse");
         forgetUnlisted();
     }
@@ -370,7 +370,7 @@
      * @return whether a later start of the same upstream is known
      */
     public boolean isOver(UpstreamId id) {
-        return upstreams.startedAgain(id);
+        return upstreams.hasRestarted(id);
     }
 
     /**
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -8,11 +8,11 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedBackOff;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedBackOff;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.upstream.FailureKind;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.serving.http.AnswerHead;
+import org.apricotstack.serving.http.ResponseHead;
 import org.apricotstack.serving.http.UpstreamCall;
 import org.apricotstack.serving.http.UpstreamListener;
 
@@ -33,7 +33,7 @@
     private long silenceMillis;
     private int watches;
     private boolean over;
-    private AnswerHead head;
+    private ResponseHead head;
     private HttpResponse raw;
     private CompositeByteBuf body;
 
@@ -186,14 +186,14 @@
     }
 
     @Override
-    public void head(AnswerHead answer, HttpResponse response) {
+    public void head(ResponseHead answer, HttpResponse response) {
         head = answer;
         raw = response;
         run.answerBegan(this, answer);
     }
 
     @Override
-    public void late(AnswerHead answer) {
+    public void late(ResponseHead answer) {
         run.lateAnswer(this, answer);
     }
 
@@ -226,7 +226,7 @@
     }
 
     /** Says what is wrong with an answer that came whole; {@code null} if nothing is. */
-    static FailureKind failureOf(AnswerHead answer) {
+    static FailureKind failureOf(ResponseHead answer) {
         if (answer.otherInstance()) {
             return FailureKind.OTHER_INSTANCE;
         }
@@ -241,14 +241,14 @@
     }
 
     /** Says why an upstream did not run a request. */
-    private static FailureKind turnedAway(AnswerHead answer) {
+    private static FailureKind turnedAway(ResponseHead answer) {
         if (answer.faultyAddress() != null) {
             return FailureKind.HELPER_GONE;
         }
-        if (answer.notice().drain() == StatedDrain.DRAINING) {
+        if (answer.notice().drain() == AdvertisedDrain.DRAINING) {
             return FailureKind.DRAINING;
         }
-        boolean asks = answer.notice().backOff().kind() == StatedBackOff.Kind.STATED;
+        boolean asks = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
         return asks ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -1,28 +1,29 @@
 package org.apricotstack.serving.run;
 
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedBackOff;
+import org.apricotstack.core.notice.AdvertisedBackOff;
 import org.apricotstack.core.upstream.BackOffTable;
 import org.apricotstack.serving.observe.DecisionLog;
 
 /** Notes which upstreams turned this router away and asked it to send them nothing for a while. */
 final class BackOffGate {
 
-    private final RunContext context;
+    private final ServingContext context;
     private final BackOffTable table = new BackOffTable();
 
     /** Creates a gate. */
-    BackOffGate(RunContext context) {
+    BackOffGate(ServingContext context) {
         this.context = context;
     }
 
     /** Takes in what an answer says; the request is {@code null} if it is no caller's. */
-    void answered(UpstreamId upstream, StatedBackOff stated, String requestId) {
-        if (stated.kind() == StatedBackOff.Kind.ABSENT) {
+    void answered(UpstreamId upstream, AdvertisedBackOff stated, String requestId) {
+        if (stated.kind() == AdvertisedBackOff.Kind.ABSENT) {
             return;
         }
         context.metrics().backOff(stated.kind());
-        if (stated.kind() == StatedBackOff.Kind.STATED && table.asked(upstream, stated.millis(), context.nowMillis())) {
+        if (stated.kind() == AdvertisedBackOff.Kind.PRESENT
+                && table.backOffRequested(upstream, stated.millis(), context.nowMillis())) {
             DecisionLog.Line line = requestId == null
                     ? context.log().line("back_off_began")
                     : context.log().request("back_off_began", requestId);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/CallerPatience.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/CallerPatience.java
@@ -37,7 +37,7 @@
     private static final long ROOM_MILLIS = 700;
 
     /** Time between two looks of a request that waits for room, in milliseconds: two passes. */
-    static final long LOOK_MILLIS = 100;
+    static final long RECHECK_MILLIS = 100;
 
     /** Time that moving a stream must gain, in milliseconds; its prompt is read again elsewhere. */
     static final double WORTH_MOVING_MILLIS = 400;
@@ -47,7 +47,8 @@
     /** Returns how long a caller waits for the first event, as far as a prediction may use it. */
     static long millis(Route route) {
         long gap = Math.max(
-                LEAST_GAP_MILLIS, Math.max(TARGETS * route.targetLatencyMillis(), PAUSES * route.pauseTargetMillis()));
+                LEAST_GAP_MILLIS,
+                Math.max(TARGETS * route.targetLatencyMillis(), PAUSES * route.tokenGapTargetMillis()));
         return (long) (gap * PLANNED_SHARE);
     }
 
@@ -58,7 +59,7 @@
 
     /** Returns the silence between events after which the stream is moved. */
     static long pauseLimitMillis(Route route) {
-        return route.idempotent() ? PAUSE_TIMES * route.pauseTargetMillis() + PAUSE_MILLIS : 0;
+        return route.idempotent() ? PAUSE_TIMES * route.tokenGapTargetMillis() + PAUSE_MILLIS : 0;
     }
 
     /** Returns the silence after which a plain request is sent to another upstream. */
