--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
@@ -1,7 +1,7 @@
 package org.apricotstack.serving.run;
 
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.upstream.AnnouncedDrain;
 import org.apricotstack.core.upstream.DrainChange;
 import org.apricotstack.core.upstream.DrainTable;
@@ -11,10 +11,10 @@
 /** Notes which upstreams announce in their answers that they leave, and lets the other routers know. */
 final class DrainGate {
 
-    private final RunContext context;
+    private final ServingContext context;
 
     /** Creates a gate. */
-    DrainGate(RunContext context) {
+    DrainGate(ServingContext context) {
         this.context = context;
     }
 
@@ -24,15 +24,15 @@
     }
 
     /** Takes in what an answer says; the request is {@code null} if it is no caller's. */
-    void answered(UpstreamId upstream, StatedDrain stated, long sentMillis, String requestId) {
-        if (stated == StatedDrain.UNREADABLE) {
+    void answered(UpstreamId upstream, AdvertisedDrain stated, long sentMillis, String requestId) {
+        if (stated == AdvertisedDrain.UNREADABLE) {
             context.metrics().drainUnreadable();
         }
-        if (stated != StatedDrain.DRAINING && table().isEmpty()) {
+        if (stated != AdvertisedDrain.DRAINING && table().isEmpty()) {
             return;
         }
         AnnouncedDrain before = table().find(upstream);
-        DrainChange change = table().answered(upstream, stated, sentMillis, context.nowMillis());
+        DrainChange change = table().answerReceived(upstream, stated, sentMillis, context.nowMillis());
         if (change == DrainChange.BEGAN) {
             context.metrics().drainAnnounced();
             line("drain_announced", upstream, requestId).put("source", "answer").write();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EndCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EndCheck.java
@@ -29,7 +29,7 @@
     /** Upstreams that left as planned and are remembered, until requests that ran there have been ended. */
     private static final int MOST_LEFT = 64;
 
-    private final RunContext context;
+    private final ServingContext context;
     private final Set<UpstreamId> left = new LinkedHashSet<>();
     private final Map<UpstreamId, Asked> asked = new HashMap<>();
 
@@ -42,7 +42,7 @@
     private record Asked(long atMillis, Mono<Boolean> ended) {}
 
     /** Creates a check. */
-    EndCheck(RunContext context) {
+    EndCheck(ServingContext context) {
         this.context = context;
     }
 
@@ -50,7 +50,7 @@
     boolean mayHaveEnded(UpstreamEntry upstream, FailureKind kind) {
         return MAY_MEAN_END.contains(kind)
                 && !left.contains(upstream.id())
-                && (context.upstreams().startedAgain(upstream.id()) || isListedToStay(upstream.id()));
+                && (context.upstreams().hasRestarted(upstream.id()) || isListedToStay(upstream.id()));
     }
 
     /** Notes that a start of an upstream ended after it had been about to leave. */
@@ -68,7 +68,7 @@
 
     /** Tells whether an upstream at which a request just broke off has ended; it may take some milliseconds. */
     Mono<Boolean> hasEnded(UpstreamEntry upstream) {
-        if (context.upstreams().startedAgain(upstream.id())) {
+        if (context.upstreams().hasRestarted(upstream.id())) {
             return Mono.just(true);
         }
         long now = context.nowMillis();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
@@ -13,11 +13,11 @@
     /**
      * What an engine says of itself.
      *
-     * @param pace how slow it is: 1 for the published figures, more for a slow engine
+     * @param slowdown how slow it is: 1 for the published figures, more for a slow engine
      * @param queued requests that wait there for a slot or for memory
      * @param incarnation which of its starts answered, see {@link UpstreamId}
      */
-    record Report(double pace, int queued, long incarnation) {}
+    record Report(double slowdown, int queued, long incarnation) {}
 
     /**
      * Reserves memory, or renews a reservation.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
@@ -5,24 +5,24 @@
 import java.util.function.Consumer;
 
 import org.apricotstack.core.id.UpstreamId;
+import org.apricotstack.core.ratelimit.AdvertisedLimit;
 import org.apricotstack.core.ratelimit.LimitAdmission;
 import org.apricotstack.core.ratelimit.LimitChange;
 import org.apricotstack.core.ratelimit.RateLimit;
-import org.apricotstack.core.ratelimit.StatedLimit;
 import org.apricotstack.serving.observe.DecisionLog;
 
 /** Keeps what reaches upstreams within the rate limits that they name in their answers. */
 final class LimitGate {
 
-    private final RunContext context;
+    private final ServingContext context;
     private final LimitAdmission admission;
     private final Set<UpstreamId> unreadable = new HashSet<>();
     private int waiting;
 
     /** Creates a gate. */
-    LimitGate(RunContext context) {
+    LimitGate(ServingContext context) {
         this.context = context;
-        this.admission = new LimitAdmission(context.limits(), context.limitNews(), context::nowMillis);
+        this.admission = new LimitAdmission(context.limits(), context.limitGossip(), context::nowMillis);
     }
 
     /**
@@ -33,14 +33,14 @@
      * @param sentMillis when the request was sent, or before
      * @param requestId the request, or {@code null} if it is no caller's
      */
-    void answered(UpstreamId upstream, StatedLimit stated, long sentMillis, String requestId) {
-        if (stated.kind() == StatedLimit.Kind.ABSENT && !admission.isLimited(upstream)) {
+    void answered(UpstreamId upstream, AdvertisedLimit stated, long sentMillis, String requestId) {
+        if (stated.kind() == AdvertisedLimit.Kind.ABSENT && !admission.isLimited(upstream)) {
             return;
         }
         long now = context.nowMillis();
         RateLimit before = context.limits().find(upstream);
-        LimitChange change = context.limits().answered(upstream, stated, sentMillis, now);
-        if (stated.kind() == StatedLimit.Kind.UNREADABLE) {
+        LimitChange change = context.limits().answerReceived(upstream, stated, sentMillis, now);
+        if (stated.kind() == AdvertisedLimit.Kind.UNREADABLE) {
             noteUnreadable(upstream, requestId);
         } else {
             unreadable.remove(upstream);
@@ -58,9 +58,9 @@
                 .put("incarnation", upstream.incarnation())
                 .put("per_second", Double.toString(limit.perSecond()))
                 .put("source", "answer")
-                .put("keeper", ended ? null : context.limitNews().keeperOf(upstream))
+                .put("keeper", ended ? null : context.limitGossip().permitIssuerOf(upstream))
                 .write();
-        context.limitNews().told(upstream, change, limit);
+        context.limitGossip().limitChanged(upstream, change, limit);
     }
 
     /** Begins a line, on a request if one is known. */
@@ -121,11 +121,11 @@
 
     /** Forgets what concerns upstreams that are not limited any more, or gone, and shows the limits that hold. */
     void expire() {
-        context.limits().expire(id -> context.upstreams().lists(id), context.nowMillis());
+        context.limits().expire(id -> context.upstreams().isListed(id), context.nowMillis());
         context.metrics().limits(context.limits().all());
         admission.expire();
         if (!unreadable.isEmpty()) {
-            unreadable.removeIf(upstream -> !context.upstreams().lists(upstream));
+            unreadable.removeIf(upstream -> !context.upstreams().isListed(upstream));
         }
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitNews.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGossip.java
@@ -2,11 +2,11 @@
 
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.ratelimit.LimitChange;
-import org.apricotstack.core.ratelimit.PermitPort;
+import org.apricotstack.core.ratelimit.PermitClient;
 import org.apricotstack.core.ratelimit.RateLimit;
 
 /** Tells the other routers of the rate limits that upstreams name, and asks those that keep the limits. */
-public interface LimitNews extends PermitPort {
+public interface LimitGossip extends PermitClient {
 
     /**
      * Tells what an answer changed.
@@ -15,7 +15,7 @@
      * @param change what changed
      * @param limit the limit that holds now; of an end the time at which the request was sent that showed it
      */
-    void told(UpstreamId upstream, LimitChange change, RateLimit limit);
+    void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit);
 
     /**
      * Returns the router that keeps the limit of an upstream, as this one sees it.
@@ -23,5 +23,5 @@
      * @param upstream the upstream
      * @return the host's name, or {@code null} if there is none
      */
-    String keeperOf(UpstreamId upstream);
+    String permitIssuerOf(UpstreamId upstream);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementNews.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementGossip.java
@@ -4,7 +4,7 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /** Tells the other routers what this one decided and saw. */
-public interface PlacementNews {
+public interface PlacementGossip {
 
     /**
      * Tells of a placement.
@@ -19,7 +19,7 @@
      *
      * @param placement the placement
      */
-    void writing(EnginePlacement placement);
+    void decodeStarted(EnginePlacement placement);
 
     /**
      * Tells that a placement is over.
@@ -33,7 +33,7 @@
      *
      * @return {@code false} for a while after the start
      */
-    boolean heardOthers();
+    boolean hasPeerPlacements();
 
     /**
      * Tells that an upstream failed.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRuns.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestDispatcher.java
@@ -19,12 +19,12 @@
 import org.apricotstack.serving.http.CallerExchange;
 import org.apricotstack.serving.http.CallerHandler;
 import org.apricotstack.serving.http.CallerRequest;
-import org.apricotstack.serving.http.CallerRun;
-import org.apricotstack.serving.http.IgnoredRun;
+import org.apricotstack.serving.http.CallerRequestListener;
+import org.apricotstack.serving.http.DiscardingRequestListener;
 import org.apricotstack.serving.observe.RefusalCause;
 
 /** Checks requests against the configuration, and begins their runs. */
-public final class RequestRuns implements CallerHandler {
+public final class RequestDispatcher implements CallerHandler {
 
     /** Time after which a caller finds a configuration here, in milliseconds: two reads from the platform. */
     private static final long CONFIGURATION_MILLIS = 300;
@@ -38,7 +38,7 @@
     /** Ends the text of an answer to a request that may have run. */
     private static final String MAY_HAVE_RUN = " may_have_run";
 
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamChooser chooser;
     private final SuspectGate gate;
     private final UpstreamGates gates;
@@ -50,7 +50,7 @@
      *
      * @param context what they share
      */
-    public RequestRuns(RunContext context) {
+    public RequestDispatcher(ServingContext context) {
         this.context = context;
         this.gate = new SuspectGate(context, this::suspected);
         this.gates = new UpstreamGates(context);
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public CallerRun open(CallerRequest request, CallerExchange exchange) {
+    public CallerRequestListener open(CallerRequest request, CallerExchange exchange) {
         if (refusing) {
             return refuse(request, exchange, RefusalCause.STOPPING, OTHER_ROUTER_MILLIS);
         }
@@ -70,7 +70,7 @@
         if (route == null) {
             return refuse(request, exchange, RefusalCause.NO_ROUTE, 0);
         }
-        KeyedAccount account = configuration.accounts().holder(request.key());
+        KeyedAccount account = configuration.accounts().holder(request.apiKey());
         if (account == null && configuration.accounts().required() && !route.anonymous()) {
             return refuse(request, exchange, RefusalCause.UNKNOWN_KEY, 0);
         }
@@ -81,7 +81,8 @@
     }
 
     /** Answers a request that is not begun. */
-    private CallerRun refuse(CallerRequest request, CallerExchange exchange, RefusalCause cause, long retryMillis) {
+    private CallerRequestListener refuse(
+            CallerRequest request, CallerExchange exchange, RefusalCause cause, long retryMillis) {
         context.metrics().refused(cause);
         context.log()
                 .request("refused", request.id())
@@ -91,7 +92,7 @@
                 .put("retry_after_millis", retryMillis)
                 .write();
         answer(exchange, cause, false, retryMillis);
-        return IgnoredRun.INSTANCE;
+        return DiscardingRequestListener.INSTANCE;
     }
 
     /** Returns the status that tells a caller why there is no answer. */
@@ -128,7 +129,7 @@
      *
      * @param ended the start that ended by a new one, as it was last listed
      */
-    public void startedAgain(UpstreamEntry ended) {
+    public void upstreamRestarted(UpstreamEntry ended) {
         if (ended.draining() || context.upstreams().isDraining(ended.id())) {
             gate.leftAsPlanned(ended.id());
         }
@@ -141,7 +142,7 @@
      *
      * @param request the request
      */
-    public void heardOfEnd(RequestDigest request) {
+    public void upstreamCrashReported(RequestDigest request) {
         gate.moreKnown(request);
     }
 
@@ -155,7 +156,7 @@
      *
      * @param upstream the start
      */
-    public void servingAgain(UpstreamId upstream) {
+    public void drainEnded(UpstreamId upstream) {
         gates.drains().servingAgain(upstream);
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
@@ -2,8 +2,8 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 import org.apricotstack.core.engine.EngineProfile;
+import org.apricotstack.core.engine.PromptAdmission;
 import org.apricotstack.core.engine.PromptRequest;
-import org.apricotstack.core.engine.RoomWait;
 import org.apricotstack.core.id.ClientAccountId;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.route.KeyedAccount;
@@ -13,7 +13,7 @@
 import org.apricotstack.core.route.ServingConfiguration;
 import org.apricotstack.core.suspect.RequestDigest;
 import org.apricotstack.serving.http.CallerRequest;
-import org.apricotstack.serving.http.Forwarding;
+import org.apricotstack.serving.http.ForwardingParameters;
 
 /**
  * What does not change while a request is served.
@@ -56,7 +56,7 @@
                 configuration.services().get(service),
                 configuration.version(),
                 nowMillis,
-                nowMillis + Math.min(request.waitMillis(), route.timeoutMillis()));
+                nowMillis + Math.min(request.timeoutMillis(), route.timeoutMillis()));
     }
 
     /** Tells whether model engines run it. */
@@ -71,7 +71,7 @@
 
     /** Tells whether it may still wait for room. */
     boolean mayWait(double predictedMillis, long nowMillis) {
-        return RoomWait.isAllowed(
+        return PromptAdmission.mayWait(
                 predictedMillis, nowMillis - arrivedMillis, CallerPatience.millis(route), leftMillis(nowMillis));
     }
 
@@ -85,12 +85,12 @@
     PromptRequest prompt(long nowMillis, boolean begun) {
         EngineProfile engine = profile.engine().orElseThrow();
         long waited = nowMillis - arrivedMillis;
-        long answerTokens = request.answerTokens() > 0 ? request.answerTokens() : engine.usualAnswerTokens();
+        long answerTokens = request.maxAnswerTokens() > 0 ? request.maxAnswerTokens() : engine.meanAnswerTokens();
         return new PromptRequest(
                 request.promptTokens(),
                 answerTokens,
                 Math.max(1, route.targetLatencyMillis() - waited),
-                route.pauseTargetMillis(),
+                route.tokenGapTargetMillis(),
                 Math.min(leftMillis(nowMillis), CallerPatience.millis(route) - (begun ? 0 : waited)),
                 begun ? 0 : waited);
     }
@@ -106,8 +106,9 @@
     }
 
     /** Returns what the upstream is told beside the caller's words. */
-    Forwarding forwarding(UpstreamChoice choice, ReservedHelpers helpers, String lastEventId, long nowMillis) {
-        return new Forwarding(
+    ForwardingParameters forwarding(
+            UpstreamChoice choice, ReservedHelpers helpers, String lastEventId, long nowMillis) {
+        return new ForwardingParameters(
                 choice.upstream(),
                 Math.max(1, leftMillis(nowMillis)),
                 accountId(),
@@ -123,7 +124,7 @@
 
     /** Returns the hash that tells the request apart from those with another head or another length of the body. */
     long headDigest(int bodyBytes) {
-        return RequestDigest.headOf(head().method().name(), request.host(), request.target(), accountId(), bodyBytes);
+        return RequestDigest.hashHead(head().method().name(), request.host(), request.target(), accountId(), bodyBytes);
     }
 
     /** Returns the rank of the request; an account's goes before its route's. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
@@ -8,10 +8,10 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.suspect.RequestDigest;
 import org.apricotstack.core.upstream.FailureKind;
-import org.apricotstack.serving.http.AnswerHead;
 import org.apricotstack.serving.http.CallerExchange;
-import org.apricotstack.serving.http.CallerRun;
+import org.apricotstack.serving.http.CallerRequestListener;
 import org.apricotstack.serving.http.PlainProtocol;
+import org.apricotstack.serving.http.ResponseHead;
 import org.apricotstack.serving.observe.RefusalCause;
 
 /**
@@ -21,9 +21,9 @@
  * sent again only if it is certain that it has not run. A stream that breaks goes on at another upstream after the last
  * whole event, inside the same answer.
  */
-final class RequestRun implements CallerRun {
+final class RequestRun implements CallerRequestListener {
 
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamChooser chooser;
     private final CallerExchange exchange;
     private final RequestFacts facts;
@@ -42,7 +42,7 @@
 
     /** Begins a run; it waits for the body. */
     RequestRun(
-            RunContext context,
+            ServingContext context,
             UpstreamChooser chooser,
             SuspectGate gate,
             UpstreamGates gates,
@@ -66,7 +66,7 @@
     }
 
     /** Returns what requests share. */
-    RunContext context() {
+    ServingContext context() {
         return context;
     }
 
@@ -192,17 +192,17 @@
     }
 
     /** Takes the beginning of an answer, whatever follows. */
-    void answerBegan(Attempt attempt, AnswerHead answer) {
+    void answerBegan(Attempt attempt, ResponseHead answer) {
         stated(attempt, answer, attempt.startMillis());
     }
 
     /** Takes the beginning of an answer to an earlier request; it may begin what it says, but end nothing. */
-    void lateAnswer(Attempt attempt, AnswerHead answer) {
+    void lateAnswer(Attempt attempt, ResponseHead answer) {
         stated(attempt, answer, Long.MIN_VALUE);
     }
 
     /** Takes in what an upstream says of itself; what another one at its address says concerns the other one. */
-    private void stated(Attempt attempt, AnswerHead answer, long sentMillis) {
+    private void stated(Attempt attempt, ResponseHead answer, long sentMillis) {
         if (!answer.otherInstance()) {
             gates.answered(
                     attempt.upstream().id(),
@@ -219,7 +219,7 @@
             return;
         }
         if (success) {
-            context.judge().succeeded(attempt.upstream().id());
+            context.outlierDetector().succeeded(attempt.upstream().id());
         }
         if (exchange.begun()) {
             answer.release();
@@ -229,7 +229,7 @@
         }
         long now = context.nowMillis();
         context.metrics().firstAnswer(facts.route().kind(), now - facts.arrivedMillis());
-        exchange.answer(raw.status(), PlainProtocol.passedOn(raw.headers()), answer);
+        exchange.answer(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()), answer);
         finish("answered", attempt, raw.status().code());
     }
 
@@ -251,7 +251,7 @@
         }
         progress.took(event.id(), now);
         if (!exchange.begun()) {
-            exchange.begin(raw.status(), PlainProtocol.passedOn(raw.headers()));
+            exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.data(event.bytes());
         if (!exchange.writable()) {
@@ -264,9 +264,9 @@
         if (over) {
             return;
         }
-        context.judge().succeeded(attempt.upstream().id());
+        context.outlierDetector().succeeded(attempt.upstream().id());
         if (!exchange.begun()) {
-            exchange.begin(raw.status(), PlainProtocol.passedOn(raw.headers()));
+            exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.complete();
         finish("streamed", attempt, raw.status().code());
@@ -302,15 +302,16 @@
         }
         long now = context.nowMillis();
         boolean begun = exchange.begun();
-        int status =
-                begun ? 0 : RequestRuns.status(cause, attempts.mayHaveRun()).code();
+        int status = begun
+                ? 0
+                : RequestDispatcher.status(cause, attempts.mayHaveRun()).code();
         log.refused(cause, status, retryMillis, suspicion.digestOf(cause), now);
         sender.cancel();
         close();
         if (begun) {
             exchange.abort();
         } else {
-            RequestRuns.answer(exchange, cause, attempts.mayHaveRun(), retryMillis);
+            RequestDispatcher.answer(exchange, cause, attempts.mayHaveRun(), retryMillis);
         }
     }
 
@@ -329,7 +330,7 @@
     }
 
     @Override
-    public void left() {
+    public void disconnected() {
         if (!over) {
             log.callerLeft(context.nowMillis());
             sender.cancel();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
@@ -7,11 +7,11 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpRequest;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.ratelimit.LimitWait;
+import org.apricotstack.core.ratelimit.PermitWaitPolicy;
 import org.apricotstack.core.route.RequestKind;
 import org.apricotstack.core.suspect.SuspectDecision;
 import org.apricotstack.core.upstream.FailureKind;
-import org.apricotstack.core.upstream.ReturnSpread;
+import org.apricotstack.core.upstream.RetryAfterJitter;
 import org.apricotstack.serving.observe.PassedOverCause;
 import org.apricotstack.serving.observe.RefusalCause;
 
@@ -19,7 +19,7 @@
 final class RequestSender {
 
     private final RequestRun run;
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamChooser chooser;
     private final UpstreamGates gates;
     private final RequestFacts facts;
@@ -176,7 +176,7 @@
             run.endWithout(RefusalCause.UPSTREAM_LIMITS, opening.millis());
         } else {
             long caller = facts.request().id().hashCode();
-            run.endWithout(RefusalCause.UPSTREAMS_BACK_OFF, ReturnSpread.millis(opening.millis(), caller));
+            run.endWithout(RefusalCause.UPSTREAMS_BACK_OFF, RetryAfterJitter.millis(opening.millis(), caller));
         }
     }
 
@@ -186,7 +186,7 @@
             return now + opening.millis() < progress.lastMillis() + CallerPatience.millis(facts.route());
         }
         return opening.cause() == PassedOverCause.LIMIT
-                && LimitWait.isAllowed(
+                && PermitWaitPolicy.isAllowed(
                         opening.millis(),
                         now - facts.arrivedMillis(),
                         facts.route().targetLatencyMillis(),
@@ -213,7 +213,7 @@
             waiting = true;
             log.waits(context.nowMillis());
         }
-        lookAgain(CallerPatience.LOOK_MILLIS);
+        lookAgain(CallerPatience.RECHECK_MILLIS);
     }
 
     /** Tries to send the request a little later. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
@@ -9,7 +9,7 @@
 import org.apricotstack.core.engine.EnginePart;
 import org.apricotstack.core.notice.UpstreamNotice;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.serving.http.Forwarding;
+import org.apricotstack.serving.http.ForwardingParameters;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
@@ -39,29 +39,29 @@
     /** Time after which an order that was not answered is no longer carried out, in milliseconds. */
     private static final long LATE_MILLIS = 13_000;
 
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamGates gates;
     private final UpstreamChoice choice;
-    private final List<Forwarding.Helper> helpers = new ArrayList<>();
+    private final List<ForwardingParameters.Helper> helpers = new ArrayList<>();
     private ScheduledFuture<?> renewal;
     private long unansweredMillis = Long.MIN_VALUE / 2;
     private boolean ended;
 
     /** Creates the helpers of a send; nothing is reserved yet. */
-    ReservedHelpers(RunContext context, UpstreamGates gates, UpstreamChoice choice) {
+    ReservedHelpers(ServingContext context, UpstreamGates gates, UpstreamChoice choice) {
         this.context = context;
         this.gates = gates;
         this.choice = choice;
         for (int i = 0; i < choice.helpers().size(); i++) {
             EnginePart part = choice.placement().parts().get(i + 1);
             boolean reserved = choice.reserves() && part.memoryTokens() > 0;
-            helpers.add(new Forwarding.Helper(
+            helpers.add(new ForwardingParameters.Helper(
                     choice.helpers().get(i), reserved ? choice.placement().id() + "-" + i : null));
         }
     }
 
     /** Returns the helpers as the upstream is told of them. */
-    List<Forwarding.Helper> helpers() {
+    List<ForwardingParameters.Helper> helpers() {
         return helpers;
     }
 
@@ -87,7 +87,7 @@
         return Flux.range(0, helpers.size())
                 .filter(i -> helpers.get(i).reservation() != null)
                 .filter(i -> !context.upstreams()
-                        .startedAgain(helpers.get(i).upstream().id()))
+                        .hasRestarted(helpers.get(i).upstream().id()))
                 .flatMap(i -> order(helpers.get(i).upstream(), heard -> context.engines()
                                 .reserve(
                                         helpers.get(i).upstream(),
@@ -115,7 +115,7 @@
     /** Notes an order that was not answered and may be carried out late. */
     private void unanswered(UpstreamEntry engine) {
         unansweredMillis = context.nowMillis();
-        context.judge().ordersLost(engine.id(), unansweredMillis);
+        context.outlierDetector().ordersLost(engine.id(), unansweredMillis);
     }
 
     /** Releases all memory. */
@@ -127,7 +127,7 @@
         if (renewal != null) {
             renewal.cancel(false);
         }
-        for (Forwarding.Helper helper : helpers) {
+        for (ForwardingParameters.Helper helper : helpers) {
             if (helper.reservation() != null) {
                 release(helper.upstream(), helper.reservation());
             }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunLog.java
@@ -15,13 +15,13 @@
 /** Writes down and counts what happens to one request, with the figures that decided. */
 final class RunLog {
 
-    private final RunContext context;
+    private final ServingContext context;
     private final RequestFacts facts;
     private final AttemptCount attempts;
     private final StreamProgress progress;
 
     /** Creates the log of a request. */
-    RunLog(RunContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
+    RunLog(ServingContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
         this.context = context;
         this.facts = facts;
         this.attempts = attempts;
@@ -44,7 +44,7 @@
                 .put("configuration", facts.configurationVersion())
                 .put("limit_millis", facts.endMillis() - facts.arrivedMillis())
                 .put("target_millis", facts.route().targetLatencyMillis())
-                .put("pause_target_millis", facts.route().pauseTargetMillis())
+                .put("pause_target_millis", facts.route().tokenGapTargetMillis())
                 .put("prompt_tokens", facts.request().promptTokens())
                 .write();
     }
@@ -53,7 +53,7 @@
     void waits(long nowMillis) {
         line("waits")
                 .put("left_millis", facts.leftMillis(nowMillis))
-                .put("board", context.board().size())
+                .put("board", context.loadTable().size())
                 .write();
     }
 
@@ -81,11 +81,11 @@
                         "part_millis",
                         choice.placement() == null
                                 ? 0
-                                : Math.round(choice.placement().lead().readMillis()))
+                                : Math.round(choice.placement().lead().prefillMillis()))
                 .put("predicted_millis", Math.round(choice.predictedMillis()))
                 .put("reserves", choice.reserves())
                 .put("left_millis", facts.leftMillis(nowMillis))
-                .put("board", context.board().size())
+                .put("board", context.loadTable().size())
                 .write();
     }
 
@@ -105,7 +105,7 @@
                 .put("cause", cause.code())
                 .put("upstream", upstream.value())
                 .put("per_second", limit == null ? null : Double.toString(limit.perSecond()))
-                .put("keeper", context.limitNews().keeperOf(upstream))
+                .put("keeper", context.limitGossip().permitIssuerOf(upstream))
                 .put("opens_millis", opensMillis)
                 .write();
     }
@@ -161,7 +161,7 @@
     /** Notes an answer of an upstream. */
     void answered(String how, Attempt attempt, int status, long nowMillis) {
         context.metrics().served(facts.route().kind());
-        context.metrics().longestPause(progress.longestPauseMillis());
+        context.metrics().longestTokenGap(progress.longestPauseMillis());
         line(how)
                 .put("status", status)
                 .put("attempt", attempts.sent())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunSuspicion.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunSuspicion.java
@@ -35,7 +35,7 @@
     /** Returns what tells the request apart over its repeats. */
     RequestDigest digest() {
         if (digest == null) {
-            digest = new RequestDigest(head(), RequestDigest.bodyOf(body.nioBuffers(), facts.accountId()));
+            digest = new RequestDigest(head(), RequestDigest.hashBody(body.nioBuffers(), facts.accountId()));
         }
         return digest;
     }
@@ -55,7 +55,7 @@
 
     /** Decides what is done with the request before it is sent. */
     SuspectDecision decide() {
-        boolean unknown = gate.isIdle() || !gate.mayKnow(head());
+        boolean unknown = gate.isIdle() || !gate.mayContain(head());
         return unknown ? SuspectDecision.SEND : gate.decide(digest());
     }
 
@@ -97,7 +97,7 @@
 
     /** Notes that an upstream ran it to its end. */
     void served() {
-        if (!gate.isIdle() && gate.mayKnow(head())) {
+        if (!gate.isIdle() && gate.mayContain(head())) {
             gate.served(digest());
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunContext.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ServingContext.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Supplier;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.limits.ByteBudget;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.route.ServingConfiguration;
 import org.apricotstack.core.suspect.SuspectTable;
-import org.apricotstack.core.upstream.UpstreamJudge;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.http.UpstreamConnections;
@@ -25,37 +25,37 @@
  * @param loop the thread
  * @param configuration the configuration in force, or {@code null} before the first
  * @param upstreams the listed upstreams
- * @param judge judges them
- * @param board what engines are doing
+ * @param outlierDetector judges them
+ * @param loadTable what engines are doing
  * @param connections connections to upstreams
  * @param protocol the upstreams' headers
  * @param engines what engines offer beside running prompts
  * @param news tells other routers
  * @param suspects requests under which upstreams ended
- * @param suspectNews tells other routers of them
+ * @param suspectGossip tells other routers of them
  * @param limits the rate limits that upstreams named
- * @param limitNews tells other routers of them
+ * @param limitGossip tells other routers of them
  * @param budgets what may be repeated
  * @param bodies bounds the bytes of requests that are held
  * @param log takes decisions
  * @param metrics counts
  */
-public record RunContext(
+public record ServingContext(
         ProcessId process,
         DataCentreId dataCentre,
         ServingLoop loop,
         Supplier<ServingConfiguration> configuration,
         UpstreamTable upstreams,
-        UpstreamJudge judge,
-        EngineBoard board,
+        OutlierDetector outlierDetector,
+        EngineLoadTable loadTable,
         UpstreamConnections connections,
         UpstreamProtocol protocol,
         EngineCalls engines,
-        PlacementNews news,
+        PlacementGossip news,
         SuspectTable suspects,
-        SuspectNews suspectNews,
+        SuspectGossip suspectGossip,
         LimitTable limits,
-        LimitNews limitNews,
+        LimitGossip limitGossip,
         RetryBudgets budgets,
         ByteBudget bodies,
         DecisionLog log,
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
@@ -24,7 +24,7 @@
     /** Time for which an answer of an engine serves all streams, in milliseconds, as asking is priced. */
     private static final long SHARED_MILLIS = 500;
 
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamGates gates;
     private final Map<UpstreamId, Long> progressMillis = new HashMap<>();
     private final Map<UpstreamId, Asked> asked = new HashMap<>();
@@ -38,7 +38,7 @@
     private record Asked(long atMillis, Mono<Silence> answer) {}
 
     /** Creates a check. */
-    SilenceCheck(RunContext context, UpstreamGates gates) {
+    SilenceCheck(ServingContext context, UpstreamGates gates) {
         this.context = context;
         this.gates = gates;
     }
@@ -69,7 +69,7 @@
      */
     private boolean waitsForHelpers(UpstreamChoice choice) {
         return !choice.helpers().isEmpty()
-                && context.board().readingMillis(choice.placement().id(), context.nowMillis()) > 0;
+                && context.loadTable().remainingPrefillMillis(choice.placement().id(), context.nowMillis()) > 0;
     }
 
     /** Tells whether a silent engine is gone; the answer may take a fraction of a second. */
@@ -114,14 +114,14 @@
                 .report(engine, notice -> gates.answered(engine.id(), notice, sentMillis, null))
                 .map(report -> {
                     UpstreamId answering = new UpstreamId(engine.id().value(), report.incarnation());
-                    if (answering.isLaterStartOf(engine.id())) {
+                    if (answering.isLaterIncarnationOf(engine.id())) {
                         return Silence.GONE;
                     }
-                    context.board().load(engine.id()).pace(report.pace());
+                    context.loadTable().load(engine.id()).slowdown(report.slowdown());
                     context.log()
                             .line("engine_reported")
                             .put("upstream", engine.id().value())
-                            .put("pace_percent", Math.round(report.pace() * 100))
+                            .put("pace_percent", Math.round(report.slowdown() * 100))
                             .put("queued", report.queued())
                             .write();
                     return report.queued() > 0 ? Silence.BUSY : Silence.PASSED_OVER;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 import org.apricotstack.core.upstream.FailureKind;
-import org.apricotstack.serving.http.AnswerHead;
+import org.apricotstack.serving.http.ResponseHead;
 
 /** One send of a request that is answered by a series of events; whole events are passed on as they come. */
 final class StreamAttempt extends Attempt {
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void head(AnswerHead answer, HttpResponse response) {
+    public void head(ResponseHead answer, HttpResponse response) {
         super.head(answer, response);
         raw = response;
         streaming = answer.success() && answer.eventStream() && failureOf(answer) == null;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 import org.apricotstack.core.id.UpstreamId;
+import org.apricotstack.core.suspect.ObservedCrash;
 import org.apricotstack.core.suspect.RequestDigest;
-import org.apricotstack.core.suspect.SeenEnd;
 import org.apricotstack.core.suspect.SuspectDecision;
 import org.apricotstack.core.suspect.SuspectTable;
-import org.apricotstack.core.suspect.Suspicion;
+import org.apricotstack.core.suspect.SuspectedRequest;
 import org.apricotstack.core.upstream.FailureKind;
 import org.apricotstack.core.upstream.UpstreamEntry;
 
@@ -35,7 +35,7 @@
     /** Ends under a request from which on routers that stand by are told of it too. */
     private static final int ENDS_TOLD_TO_ALL = 3;
 
-    private final RunContext context;
+    private final ServingContext context;
     private final EndCheck ends;
     private final Consumer<RequestDigest> whenSuspected;
     private final Map<UpstreamId, List<BrokenOff>> waiting = new HashMap<>();
@@ -50,7 +50,7 @@
     private record BrokenOff(RequestDigest request, boolean begun, Consumer<Boolean> then) {}
 
     /** Creates a gate; the action takes each request that becomes suspected, or of which more is known. */
-    SuspectGate(RunContext context, Consumer<RequestDigest> whenSuspected) {
+    SuspectGate(ServingContext context, Consumer<RequestDigest> whenSuspected) {
         this.context = context;
         this.ends = new EndCheck(context);
         this.whenSuspected = whenSuspected;
@@ -103,33 +103,33 @@
         List<RequestDigest> begun = new ArrayList<>();
         boolean repeated = false;
         for (BrokenOff one : all) {
-            SeenEnd end = new SeenEnd(upstream, one.begun(), now);
-            if (context.suspects().ended(one.request(), end, context.process(), now)) {
+            ObservedCrash end = new ObservedCrash(upstream, one.begun(), now);
+            if (context.suspects().upstreamCrashed(one.request(), end, context.process(), now)) {
                 (one.begun() ? begun : requests).add(one.request());
                 repeated |=
-                        context.suspects().find(one.request(), now).endings().size() > 1;
+                        context.suspects().find(one.request(), now).crashes().size() > 1;
             }
         }
         if (requests.isEmpty() && begun.isEmpty()) {
             return;
         }
-        context.suspectNews().ended(upstream, requests, begun, repeated);
+        context.suspectGossip().upstreamCrashed(upstream, requests, begun, repeated);
         requests.forEach(this::suspected);
         begun.forEach(this::suspected);
     }
 
     /** Tells of an end under a request that this router saw. */
     private void suspected(RequestDigest request) {
-        Suspicion suspicion = context.suspects().find(request, context.nowMillis());
+        SuspectedRequest suspicion = context.suspects().find(request, context.nowMillis());
         context.log()
                 .line("suspected")
                 .put("content", request.toString())
-                .put("ends", suspicion.endings().size())
+                .put("ends", suspicion.crashes().size())
                 .put("upstreams", suspicion.upstreams())
                 .put("since_millis", context.nowMillis() - suspicion.sinceMillis())
                 .write();
-        if (suspicion.endings().size() >= ENDS_TOLD_TO_ALL) {
-            context.suspectNews().tellAll(suspicion);
+        if (suspicion.crashes().size() >= ENDS_TOLD_TO_ALL) {
+            context.suspectGossip().broadcast(suspicion);
         }
         moreKnown(request);
     }
@@ -162,8 +162,8 @@
     }
 
     /** Tells whether any request may be suspected whose head has a hash. */
-    boolean mayKnow(long head) {
-        return context.suspects().mayKnow(head);
+    boolean mayContain(long head) {
+        return context.suspects().mayContain(head);
     }
 
     /** Tells whether no request is suspected. */
@@ -173,20 +173,20 @@
 
     /** Notes that a suspected request is sent. */
     void trying(RequestDigest request, UpstreamId upstream, long limitMillis) {
-        context.suspects().tryBegun(request, context.process(), upstream, context.nowMillis() + limitMillis);
-        context.suspectNews().trying(request, upstream, limitMillis);
+        context.suspects().trialStarted(request, context.process(), upstream, context.nowMillis() + limitMillis);
+        context.suspectGossip().trialStarted(request, upstream, limitMillis);
     }
 
     /** Notes that a suspected request is at no upstream any more. */
     void tried(RequestDigest request) {
-        context.suspects().tryEnded(request, context.process(), context.nowMillis());
-        context.suspectNews().tried(request);
+        context.suspects().trialEnded(request, context.process(), context.nowMillis());
+        context.suspectGossip().trialEnded(request);
     }
 
     /** Notes that an upstream ran a request to its end. */
     void served(RequestDigest request) {
-        if (context.suspects().served(request)) {
-            context.suspectNews().served(request);
+        if (context.suspects().requestServed(request)) {
+            context.suspectGossip().served(request);
             context.log().line("cleared").put("content", request.toString()).write();
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectNews.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGossip.java
@@ -4,10 +4,10 @@
 
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.suspect.RequestDigest;
-import org.apricotstack.core.suspect.Suspicion;
+import org.apricotstack.core.suspect.SuspectedRequest;
 
 /** Tells the other routers of requests under which upstreams end. */
-public interface SuspectNews {
+public interface SuspectGossip {
 
     /**
      * Tells that an upstream ended.
@@ -17,14 +17,15 @@
      * @param begun what had got some of it
      * @param repeated whether other upstreams ended under one of these requests before
      */
-    void ended(UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun, boolean repeated);
+    void upstreamCrashed(
+            UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun, boolean repeated);
 
     /**
      * Tells all that is known of a request, also to routers that stand by: callers may come to them with it.
      *
      * @param suspicion what is known
      */
-    void tellAll(Suspicion suspicion);
+    void broadcast(SuspectedRequest suspicion);
 
     /**
      * Tells that a suspected request is sent.
@@ -33,14 +34,14 @@
      * @param upstream where it is sent
      * @param limitMillis longest time that it may take, in milliseconds
      */
-    void trying(RequestDigest request, UpstreamId upstream, long limitMillis);
+    void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis);
 
     /**
      * Tells that a suspected request is at no upstream any more.
      *
      * @param request the request
      */
-    void tried(RequestDigest request);
+    void trialEnded(RequestDigest request);
 
     /**
      * Tells that a request is not suspected any more, as an upstream ran it to its end.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
@@ -12,11 +12,11 @@
 import org.apricotstack.core.engine.EnginePlacement;
 import org.apricotstack.core.engine.EnginePlacer;
 import org.apricotstack.core.engine.EngineProfile;
-import org.apricotstack.core.engine.OwnOrder;
+import org.apricotstack.core.engine.PerRouterEngineOrder;
 import org.apricotstack.core.engine.PlacementChoice;
 import org.apricotstack.core.engine.PlacementId;
+import org.apricotstack.core.engine.PromptAdmission;
 import org.apricotstack.core.engine.PromptRequest;
-import org.apricotstack.core.engine.RoomWait;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.upstream.FailureKind;
@@ -32,14 +32,14 @@
     /** What another data centre counts for, in requests in flight. */
     private static final double DISTANCE_WEIGHT = 0.6;
 
-    private final RunContext context;
+    private final ServingContext context;
     private final UpstreamGates gates;
     private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
     private final SilenceCheck silence;
     private long placements;
 
     /** Creates a chooser. */
-    UpstreamChooser(RunContext context, UpstreamGates gates) {
+    UpstreamChooser(ServingContext context, UpstreamGates gates) {
         this.context = context;
         this.gates = gates;
         this.silence = new SilenceCheck(context, gates);
@@ -67,7 +67,7 @@
         double bestCost = Double.MAX_VALUE;
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             double cost = inFlight.getOrDefault(entry.id(), 0)
-                    + FAILURE_WEIGHT * context.judge().failureProbability(entry.id(), context.nowMillis())
+                    + FAILURE_WEIGHT * context.outlierDetector().failureProbability(entry.id(), context.nowMillis())
                     + (entry.dataCentre().equals(context.dataCentre()) ? 0 : DISTANCE_WEIGHT);
             if (!excluded.contains(entry.id()) && cost < bestCost && gates.opensMillis(entry.id()) == 0) {
                 best = entry;
@@ -81,28 +81,33 @@
     private UpstreamChoice engines(
             ServiceId service, EngineProfile profile, PromptRequest request, Set<UpstreamId> excluded) {
         long now = context.nowMillis();
-        context.board().expire(now);
+        context.loadTable().expire(now);
         List<EngineCandidate> candidates = new ArrayList<>();
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             if (!excluded.contains(entry.id()) && gates.opensMillis(entry.id()) == 0) {
-                context.board().load(entry.id()).profile(profile);
+                context.loadTable().load(entry.id()).profile(profile);
                 candidates.add(new EngineCandidate(
                         entry.id(),
-                        context.board().load(entry.id()),
-                        context.judge().failureProbability(entry.id(), now),
-                        context.judge().takesOrders(entry.id(), now),
+                        context.loadTable().load(entry.id()),
+                        context.outlierDetector().failureProbability(entry.id(), now),
+                        context.outlierDetector().takesOrders(entry.id(), now),
                         !gates.limits().isLimited(entry.id())));
             }
         }
-        List<EngineCandidate> ordered =
-                context.news().heardOthers() ? candidates : OwnOrder.of(context.process(), candidates);
+        List<EngineCandidate> ordered = context.news().hasPeerPlacements()
+                ? candidates
+                : PerRouterEngineOrder.of(context.process(), candidates);
         PlacementChoice choice = ordered.isEmpty() ? null : new EnginePlacer(profile).choose(request, ordered, now);
         if (choice == null || !choice.found()) {
             return null;
         }
         PlacementId id = new PlacementId(context.process(), ++placements);
         EnginePlacement placement = new EnginePlacement(
-                id, choice.parts(), request.promptTokens(), request.targetLatencyMillis(), request.pauseTargetMillis());
+                id,
+                choice.parts(),
+                request.promptTokens(),
+                request.targetLatencyMillis(),
+                request.tokenGapTargetMillis());
         List<UpstreamEntry> helpers = new ArrayList<>();
         for (EnginePart part : choice.parts().subList(1, choice.parts().size())) {
             helpers.add(context.upstreams().find(part.engine()));
@@ -114,8 +119,8 @@
                 placement,
                 choice.firstTokenMillis(),
                 choice.reservesMemory(),
-                RoomWait.isDear(choice, request.promptTokens()),
-                RoomWait.isRefused(choice, request.promptTokens()));
+                PromptAdmission.isExpensive(choice, request.promptTokens()),
+                PromptAdmission.isRefused(choice, request.promptTokens()));
     }
 
     /** Returns when the first upstream of a service opens, if all that may be used are closed now. */
@@ -172,18 +177,18 @@
         long now = context.nowMillis();
         double reading = begun || used.helpers().isEmpty()
                 ? 0
-                : context.board().readingMillis(used.placement().id(), now);
+                : context.loadTable().remainingPrefillMillis(used.placement().id(), now);
         return reading > 0
                 ? reading
-                : context.board().load(used.upstream().id()).nextEventMillis(now);
+                : context.loadTable().load(used.upstream().id()).nextEventMillis(now);
     }
 
     /** Notes that a choice is used. */
     void begin(UpstreamChoice choice, long limitMillis) {
         inFlight.merge(choice.upstream().id(), 1, Integer::sum);
-        context.judge().tried(choice.upstream().id(), context.nowMillis());
+        context.outlierDetector().trialStarted(choice.upstream().id(), context.nowMillis());
         if (choice.placement() != null) {
-            context.board().place(choice.placement(), context.nowMillis(), limitMillis);
+            context.loadTable().place(choice.placement(), context.nowMillis(), limitMillis);
             context.news().placed(choice.placement(), limitMillis);
         }
     }
@@ -191,8 +196,8 @@
     /** Notes that the first event came. */
     void writing(UpstreamChoice choice) {
         if (choice.placement() != null) {
-            context.board().startWriting(choice.placement().id(), context.nowMillis());
-            context.news().writing(choice.placement());
+            context.loadTable().startDecoding(choice.placement().id(), context.nowMillis());
+            context.news().decodeStarted(choice.placement());
         }
     }
 
@@ -204,9 +209,9 @@
         long now = context.nowMillis();
         long avoid = 0;
         if (kind == FailureKind.FULL) {
-            avoid = context.judge().wasFull(blamed, now);
-        } else if (kind.countsAgainst()) {
-            avoid = context.judge().failed(blamed, kind, now);
+            avoid = context.outlierDetector().rejectedAsFull(blamed, now);
+        } else if (kind.countsAsFailure()) {
+            avoid = context.outlierDetector().failed(blamed, kind, now);
         }
         if (avoid == 0) {
             return;
@@ -224,7 +229,7 @@
     void end(UpstreamChoice choice) {
         inFlight.computeIfPresent(choice.upstream().id(), (id, count) -> count > 1 ? count - 1 : null);
         if (choice.placement() != null) {
-            context.board().remove(choice.placement().id(), context.nowMillis());
+            context.loadTable().remove(choice.placement().id(), context.nowMillis());
             context.news().ended(choice.placement());
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
@@ -11,13 +11,13 @@
  */
 final class UpstreamGates {
 
-    private final RunContext context;
+    private final ServingContext context;
     private final LimitGate limits;
     private final DrainGate drains;
     private final BackOffGate backOffs;
 
     /** Creates gates that let everything pass. */
-    UpstreamGates(RunContext context) {
+    UpstreamGates(ServingContext context) {
         this.context = context;
         this.limits = new LimitGate(context);
         this.drains = new DrainGate(context);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/PeerDocumentsTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DocumentExchangeTest.java
@@ -1,8 +1,8 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.HostId;
@@ -11,13 +11,13 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.route.ServingConfiguration;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.core.upstream.UpstreamJudge;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
 import org.apricotstack.serving.publication.Publication;
-import org.apricotstack.serving.publication.PublicationReader;
+import org.apricotstack.serving.publication.PublicationDecoder;
 import org.apricotstack.serving.publication.PublishedState;
 import org.apricotstack.wire.news.DocumentRequest;
 import org.apricotstack.wire.news.NewsReply;
@@ -27,7 +27,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PeerDocumentsTest {
+class DocumentExchangeTest {
 
     private static final Address ANY = new Address("127.0.0.1", 1);
 
@@ -35,8 +35,8 @@
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final PublishedState ownState = state();
     private final PublishedState readerState = state();
-    private final PeerDocuments own = new PeerDocuments(loop, ownState, log, () -> {});
-    private final PeerDocuments reader = new PeerDocuments(loop, readerState, log, () -> {});
+    private final DocumentExchange own = new DocumentExchange(loop, ownState, log, () -> {});
+    private final DocumentExchange reader = new DocumentExchange(loop, readerState, log, () -> {});
 
     @AfterEach
     void stop() {
@@ -45,7 +45,7 @@
     }
 
     /** Reads documents of which nothing but name and revision counts here. */
-    private static final class AnyDocument implements PublicationReader {
+    private static final class AnyDocument implements PublicationDecoder {
         @Override
         public ServingConfiguration configuration(Publication document) {
             throw new AssertionError("No configuration is published here.");
@@ -65,7 +65,8 @@
     }
 
     private PublishedState state() {
-        return new PublishedState(new AnyDocument(), new UpstreamTable(), new UpstreamJudge(), new EngineBoard(), log);
+        return new PublishedState(
+                new AnyDocument(), new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
     }
 
     private static Publication upstream(String name, long revision) {
@@ -132,7 +133,7 @@
         readerState.platformReturned(0);
         readerState.takeAllUpstreams(List.of(upstream("a", 1), upstream("b", 2)), 3, "platform", 0);
         assertThat(own.listsOthers(peer(3), readerState.upstreamsListed())).isFalse();
-        readerState.dropLapsed(UpstreamTable.LAPSE_MILLIS);
+        readerState.removeExpired(UpstreamTable.MISSING_GRACE_MILLIS);
         assertThat(own.listsOthers(peer(3), readerState.upstreamsListed())).isTrue();
         own.take(reader.answer(newerThan(2)), "reader");
         assertThat(ownState.upstreamsListed()).isEqualTo(2);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/DrainChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DrainChannelTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.upstream.DrainTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -33,7 +33,7 @@
     private final Router other = new Router();
 
     /** A router. */
-    private final class Router implements NewsPeers {
+    private final class Router implements GossipPeers {
         private final DrainTable table = new DrainTable();
         private final List<NewsFrame> standBy = new ArrayList<>();
         private NewsFrame.Builder told = NewsFrame.newBuilder();
@@ -60,8 +60,8 @@
             standBy.add(frame);
         }
 
-        private void reads(StatedDrain stated) {
-            table.answered(UPSTREAM, stated, nowMillis, nowMillis);
+        private void reads(AdvertisedDrain stated) {
+            table.answerReceived(UPSTREAM, stated, nowMillis, nowMillis);
             channel.tell(UPSTREAM);
         }
 
@@ -85,13 +85,13 @@
     @Test
     void tellsOfADrainAndOfItsEnd() {
         onLoop(() -> {
-            one.reads(StatedDrain.DRAINING);
+            one.reads(AdvertisedDrain.DRAINING);
             other.channel.take(one.takeTold(), null);
             assertThat(one.opened).isEqualTo(1);
             assertThat(other.table.isDraining(UPSTREAM)).isTrue();
             assertThat(other.channel.any()).isTrue();
             nowMillis += 1_000;
-            one.reads(StatedDrain.SERVING);
+            one.reads(AdvertisedDrain.SERVING);
             other.channel.take(one.takeTold(), null);
             assertThat(other.table.isEmpty()).isTrue();
         });
@@ -99,7 +99,7 @@
 
     @Test
     void tellsRoutersThatStandByAgainAsDatagramsMayBeLost() {
-        onLoop(() -> one.reads(StatedDrain.DRAINING));
+        onLoop(() -> one.reads(AdvertisedDrain.DRAINING));
         onLoop(() -> assertThat(one.standBy).hasSize(1));
         NewsFrame frame = one.standBy.get(0);
         onLoop(() -> other.channel.take(frame, SENDER));
@@ -120,7 +120,7 @@
     @Test
     void addsAllThatIsKnownForARouterThatMissedNews() {
         onLoop(() -> {
-            one.reads(StatedDrain.DRAINING);
+            one.reads(AdvertisedDrain.DRAINING);
             NewsFrame.Builder frame = NewsFrame.newBuilder();
             one.channel.addAll(frame);
             nowMillis += 50;
@@ -133,16 +133,16 @@
     void takesNoNewsOfAStartThatIsOverNorOnesThatAreOlderThanTheEnd() {
         UpstreamId earlier = new UpstreamId(UPSTREAM.value(), UPSTREAM.incarnation() - 1);
         onLoop(() -> {
-            one.table.answered(earlier, StatedDrain.DRAINING, nowMillis, nowMillis);
+            one.table.answerReceived(earlier, AdvertisedDrain.DRAINING, nowMillis, nowMillis);
             one.channel.tell(earlier);
             other.channel.take(one.takeTold(), null);
             assertThat(other.table.isEmpty()).isTrue();
 
-            one.reads(StatedDrain.DRAINING);
+            one.reads(AdvertisedDrain.DRAINING);
             NewsFrame begin = one.takeTold();
             other.channel.take(begin, null);
             nowMillis += 1_000;
-            one.reads(StatedDrain.SERVING);
+            one.reads(AdvertisedDrain.SERVING);
             other.channel.take(one.takeTold(), null);
             NewsFrame.Builder late = begin.toBuilder();
             late.getDrainsBuilder(0).setAgoMillis(2_000);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/FleetLimitPeersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/FleetLimitPeersTest.java
@@ -1,8 +1,8 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.HostId;
@@ -11,8 +11,8 @@
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
 import org.apricotstack.core.peer.RequestRate;
-import org.apricotstack.core.ratelimit.KeeperChoice;
-import org.apricotstack.core.upstream.UpstreamJudge;
+import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -38,7 +38,7 @@
     private final HeartbeatPort port = new HeartbeatPort(loop, ANY);
     private final PeerTable peers = new PeerTable();
     private final PublishedState state =
-            new PublishedState(null, new UpstreamTable(), new UpstreamJudge(), new EngineBoard(), log);
+            new PublishedState(null, new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
     private final StartPhase start = new StartPhase(0);
     private int knownRouters = 1;
     private final FleetLimitPeers fleet =
@@ -49,7 +49,7 @@
         RouterIdentity identity = new RouterIdentity(
                 new ProcessId(OWN, 1), new DataCentreId("east"), port.address(), port.address(), 100);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> ready, new RequestRate(0), () -> true);
-        NewsLinks links = new NewsLinks(loop, peers, () -> null);
+        OutboundGossipStreams links = new OutboundGossipStreams(loop, peers, () -> null);
         HeartbeatSender sender =
                 new HeartbeatSender(null, own, peers, links, port, start, port.address(), () -> 500, () -> false);
         fleet.tellThrough(sender, port);
@@ -65,7 +65,7 @@
 
     private void hear(HostId host, boolean isReady, boolean takesCallers) {
         Address address = new Address("127.0.0.1", 1_000 + host.value().length());
-        peers.heartbeat(
+        peers.recordHeartbeat(
                 new Peer(
                         new ProcessId(host, 1),
                         new DataCentreId("east"),
@@ -85,7 +85,7 @@
     private UpstreamId keptBy(HostId host) {
         for (int i = 0; ; i++) {
             UpstreamId upstream = new UpstreamId("upstream-" + i);
-            if (KeeperChoice.of(upstream, List.of(OWN, PEER), 0).host().equals(host)) {
+            if (PermitIssuerSelector.of(upstream, List.of(OWN, PEER), 0).host().equals(host)) {
                 return upstream;
             }
         }
@@ -93,15 +93,15 @@
 
     @Test
     void isThisRouterIfItIsAlone() {
-        assertThat(fleet.keeperOf(UPSTREAM)).isEqualTo(new KeeperChoice(OWN, 1));
+        assertThat(fleet.permitIssuerOf(UPSTREAM)).isEqualTo(new PermitIssuerSelector(OWN, 1));
     }
 
     @Test
     void isNobodyWhileThisRouterHasNotHeardTheOthersThatItKnowsOf() {
         knownRouters = 2;
-        assertThat(fleet.keeperOf(UPSTREAM).host()).isNull();
+        assertThat(fleet.permitIssuerOf(UPSTREAM).host()).isNull();
         start.toldBy(PEER);
-        assertThat(fleet.keeperOf(UPSTREAM).host()).isEqualTo(OWN);
+        assertThat(fleet.permitIssuerOf(UPSTREAM).host()).isEqualTo(OWN);
     }
 
     @Test
@@ -109,8 +109,8 @@
         hear(PEER, true, true);
         knownRouters = 2;
         start.toldBy(PEER);
-        assertThat(fleet.keeperOf(keptBy(PEER))).isEqualTo(new KeeperChoice(PEER, 1));
-        assertThat(fleet.keeperOf(keptBy(OWN))).isEqualTo(new KeeperChoice(OWN, 1));
+        assertThat(fleet.permitIssuerOf(keptBy(PEER))).isEqualTo(new PermitIssuerSelector(PEER, 1));
+        assertThat(fleet.permitIssuerOf(keptBy(OWN))).isEqualTo(new PermitIssuerSelector(OWN, 1));
     }
 
     @Test
@@ -118,18 +118,18 @@
         knownRouters = 2;
         start.toldBy(PEER);
         hear(PEER, true, false);
-        assertThat(fleet.keeperOf(keptBy(PEER)).host()).isEqualTo(OWN);
+        assertThat(fleet.permitIssuerOf(keptBy(PEER)).host()).isEqualTo(OWN);
         hear(PEER, false, true);
-        assertThat(fleet.keeperOf(keptBy(PEER)).host()).isEqualTo(OWN);
+        assertThat(fleet.permitIssuerOf(keptBy(PEER)).host()).isEqualTo(OWN);
         hear(PEER, true, true);
         ready = false;
-        assertThat(fleet.keeperOf(keptBy(OWN)).host()).isEqualTo(PEER);
+        assertThat(fleet.permitIssuerOf(keptBy(OWN)).host()).isEqualTo(PEER);
     }
 
     @Test
     void speaksForHalfOfTheRoutersIfTheOtherHalfIsSilent() {
         hear(PEER, true, true);
         nowMillis = 10_000;
-        assertThat(fleet.keeperOf(keptBy(PEER))).isEqualTo(new KeeperChoice(OWN, 0.5));
+        assertThat(fleet.permitIssuerOf(keptBy(PEER))).isEqualTo(new PermitIssuerSelector(OWN, 0.5));
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/NewsHubTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipHubTest.java
@@ -1,9 +1,9 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.engine.EnginePart;
 import org.apricotstack.core.engine.EnginePlacement;
 import org.apricotstack.core.engine.PlacementId;
@@ -17,8 +17,8 @@
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.suspect.SuspectTable;
 import org.apricotstack.core.upstream.DrainTable;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.core.upstream.UpstreamJudge;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -32,7 +32,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NewsHubTest {
+class GossipHubTest {
 
     private static final ProcessId PEER = new ProcessId(new HostId("peer"), 1);
     private static final long LISTED_START = 200;
@@ -40,10 +40,10 @@
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final UpstreamJudge judge = new UpstreamJudge();
-    private final EngineBoard board = new EngineBoard();
+    private final OutlierDetector judge = new OutlierDetector();
+    private final EngineLoadTable board = new EngineLoadTable();
     private final PublishedState state = new PublishedState(null, upstreams, judge, board, log);
-    private final NewsHub hub = new NewsHub(
+    private final GossipHub hub = new GossipHub(
             loop,
             new PeerTable(),
             board,
@@ -82,7 +82,7 @@
     }
 
     private void take(NewsFrame frame) {
-        NewsStream stream = new NewsStream();
+        InboundGossipStream stream = new InboundGossipStream();
         stream.sender(PEER);
         hub.frame(frame, stream);
         CompletableFuture<Void> taken = new CompletableFuture<>();
@@ -99,7 +99,7 @@
         EnginePlacement kept = new EnginePlacement(new PlacementId(PEER, 2), List.of(part), 5_000, 300, 250);
         take(NewsFrame.newBuilder()
                 .setWhole(true)
-                .addPlaced(NewsMessages.placed(kept, 10_000))
+                .addPlaced(GossipMessages.placed(kept, 10_000))
                 .build());
         assertThat(board.size()).isEqualTo(2);
         take(NewsFrame.newBuilder().setWhole(true).build());
@@ -117,11 +117,11 @@
         EnginePlacement placement = new EnginePlacement(
                 new PlacementId(PEER, 1), List.of(new EnginePart(start(told), 100, 5_000)), 5_000, 300, 250);
         take(NewsFrame.newBuilder()
-                .addPlaced(NewsMessages.placed(placement, 10_000))
-                .addAvoided(NewsMessages.avoided(start(told), 1_000))
+                .addPlaced(GossipMessages.placed(placement, 10_000))
+                .addAvoided(GossipMessages.avoided(start(told), 1_000))
                 .build());
-        assertThat(board.load(start(told)).leads()).isEqualTo(leads);
+        assertThat(board.load(start(told)).leadCount()).isEqualTo(leads);
         assertThat(judge.failureProbability(start(told), 0)).isEqualTo(failureProbability);
-        assertThat(board.load(start(LISTED_START)).leads()).isEqualTo(told == LISTED_START ? 1 : 0);
+        assertThat(board.load(start(LISTED_START)).leadCount()).isEqualTo(told == LISTED_START ? 1 : 0);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/NewsServerTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipServerTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -20,7 +20,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NewsServerTest {
+class GossipServerTest {
 
     /** Longest time that a test waits for bytes, in milliseconds; it fails then. */
     private static final int PATIENCE_MILLIS = 15_000;
@@ -30,7 +30,7 @@
             .build();
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
-    private final NewsServer server = new NewsServer(loop, new Address("127.0.0.1", 0), new Documents());
+    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new Documents());
 
     @AfterEach
     void stop() {
@@ -39,9 +39,9 @@
     }
 
     /** Answers every request for documents with one revision. */
-    private static final class Documents implements NewsSink {
+    private static final class Documents implements GossipHandler {
         @Override
-        public void frame(NewsFrame frame, NewsStream stream) {
+        public void frame(NewsFrame frame, InboundGossipStream stream) {
             // What is told is not looked at here.
         }
 
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/HeartbeatPortTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatPortTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/HeartbeatSenderTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatSenderTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.HostId;
@@ -14,7 +14,7 @@
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
 import org.apricotstack.core.peer.RequestRate;
-import org.apricotstack.core.upstream.UpstreamJudge;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -48,7 +48,7 @@
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final PeerTable peers = new PeerTable();
-    private final NewsLinks links = new NewsLinks(
+    private final OutboundGossipStreams links = new OutboundGossipStreams(
             loop, peers, () -> NewsFrame.newBuilder().setWhole(true).build());
     private final List<Heartbeat> arrived = new ArrayList<>();
     private final CountDownLatch last = new CountDownLatch(1);
@@ -95,14 +95,14 @@
     }
 
     private void hear(Peer peer) {
-        peers.heartbeat(peer, 0);
+        peers.recordHeartbeat(peer, 0);
         links.heard(peer);
     }
 
     /** Takes nothing, as nobody sends here. */
-    private static final class Nothing implements NewsSink {
+    private static final class Nothing implements GossipHandler {
         @Override
-        public void frame(NewsFrame frame, NewsStream stream) {
+        public void frame(NewsFrame frame, InboundGossipStream stream) {
             throw new AssertionError("Nobody sends here.");
         }
 
@@ -119,7 +119,7 @@
 
     private HeartbeatSender sender(int capacityPercent) {
         PublishedState state =
-                new PublishedState(null, new UpstreamTable(), new UpstreamJudge(), new EngineBoard(), log);
+                new PublishedState(null, new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
         RouterIdentity identity = new RouterIdentity(
                 new ProcessId(new HostId("self"), 1), EAST, port.address(), port.address(), capacityPercent);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> true, new RequestRate(0), () -> true);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/LimitChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/LimitChannelTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,10 +7,10 @@
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.ratelimit.KeeperChoice;
 import org.apricotstack.core.ratelimit.LimitChange;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.PermitGrant;
+import org.apricotstack.core.ratelimit.PermitIssuerSelector;
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -61,8 +61,8 @@
         }
 
         @Override
-        public KeeperChoice keeperOf(UpstreamId upstream) {
-            return new KeeperChoice(kept, 1);
+        public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
+            return new PermitIssuerSelector(kept, 1);
         }
 
         @Override
@@ -116,7 +116,7 @@
 
     private RateLimit name(Router router, UpstreamId upstream, double perSecond) {
         RateLimit limit = new RateLimit(perSecond, nowMillis);
-        router.table.heard(upstream, limit);
+        router.table.reportedByPeer(upstream, limit);
         return limit;
     }
 
@@ -178,17 +178,17 @@
     @Test
     void tellsOthersOfABeginAndAnEndAndTakesNoNewsOfAnEarlierStart() {
         RateLimit limit = name(asker, UPSTREAM, 10);
-        onLoop(() -> asker.channel.told(UPSTREAM, LimitChange.BEGAN, limit));
+        onLoop(() -> asker.channel.limitChanged(UPSTREAM, LimitChange.BEGAN, limit));
         onLoop(() -> keeper.channel.take(asker.told.build(), null));
         assertThat(keeper.table.find(UPSTREAM).perSecond()).isEqualTo(10);
         asker.told = NewsFrame.newBuilder();
         nowMillis += 100;
-        onLoop(() -> asker.channel.told(UPSTREAM, LimitChange.ENDED, new RateLimit(10, nowMillis)));
+        onLoop(() -> asker.channel.limitChanged(UPSTREAM, LimitChange.ENDED, new RateLimit(10, nowMillis)));
         onLoop(() -> keeper.channel.take(asker.told.build(), null));
         assertThat(keeper.table.isEmpty()).isTrue();
         UpstreamId earlier = new UpstreamId(UPSTREAM.value(), UPSTREAM.incarnation() - 1);
         asker.told = NewsFrame.newBuilder();
-        onLoop(() -> asker.channel.told(earlier, LimitChange.BEGAN, limit));
+        onLoop(() -> asker.channel.limitChanged(earlier, LimitChange.BEGAN, limit));
         onLoop(() -> keeper.channel.take(asker.told.build(), null));
         assertThat(keeper.table.isEmpty()).isTrue();
     }
@@ -201,7 +201,7 @@
             UpstreamId upstream = new UpstreamId("upstream-" + i % 100, 7);
             LimitChange change = CHANGES.get(i / 100 % CHANGES.size());
             RateLimit limit = name(asker, upstream, 1 + i % 7);
-            onLoop(() -> asker.channel.told(upstream, change, limit));
+            onLoop(() -> asker.channel.limitChanged(upstream, change, limit));
             onLoop(() -> asker.channel.ask(upstream, limit, 1, grant -> {}));
             bytes += asker.takeBytes();
         }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/NewsLinkTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/OutboundGossipStreamTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NewsLinkTest {
+class OutboundGossipStreamTest {
 
     /** Longest time that a test waits for a frame, in seconds; it fails then. */
     private static final long PATIENCE_SECONDS = 15;
@@ -30,10 +30,10 @@
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
     private final BlockingQueue<NewsFrame> arrived = new LinkedBlockingQueue<>();
-    private final NewsServer server = new NewsServer(loop, new Address("127.0.0.1", 0), new Arrivals());
+    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new Arrivals());
     private final List<Long> open = new ArrayList<>();
-    private final NewsLink link =
-            new NewsLink(loop, new Address("127.0.0.1", server.port()), new Arrivals(), this::allNews, () -> {});
+    private final OutboundGossipStream link = new OutboundGossipStream(
+            loop, new Address("127.0.0.1", server.port()), new Arrivals(), this::allNews, () -> {});
 
     @AfterEach
     void stop() {
@@ -43,9 +43,9 @@
     }
 
     /** Takes what the peer is told. */
-    private final class Arrivals implements NewsSink {
+    private final class Arrivals implements GossipHandler {
         @Override
-        public void frame(NewsFrame frame, NewsStream stream) {
+        public void frame(NewsFrame frame, InboundGossipStream stream) {
             arrived.add(frame);
         }
 
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/ToldReadingsTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/ReportedPlatformStateTest.java
@@ -1,12 +1,12 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ToldReadingsTest {
+class ReportedPlatformStateTest {
 
-    private final ToldReadings told = new ToldReadings();
+    private final ReportedPlatformState told = new ReportedPlatformState();
 
     /**
      * Symptom: that an upstream is gone is told up to 0.9 s later than that one came. Sequence: it is removed, so the
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/StartPhaseTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/StartPhaseTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import org.apricotstack.core.id.HostId;
 import org.junit.jupiter.api.Test;
@@ -25,13 +25,13 @@
 
     @Test
     void hasHeardTheOthersOnceAllOfThemToldOrTimeIsOver() {
-        assertThat(phase.heardOthers(1, START)).isTrue();
-        assertThat(phase.heardOthers(3, START)).isFalse();
+        assertThat(phase.hasPeerPlacements(1, START)).isTrue();
+        assertThat(phase.hasPeerPlacements(3, START)).isFalse();
         phase.toldBy(new HostId("a"));
         phase.toldBy(new HostId("a"));
-        assertThat(phase.heardOthers(3, START)).isFalse();
-        assertThat(phase.heardOthers(3, START + StartPhase.YOUNG_MILLIS)).isTrue();
+        assertThat(phase.hasPeerPlacements(3, START)).isFalse();
+        assertThat(phase.hasPeerPlacements(3, START + StartPhase.YOUNG_MILLIS)).isTrue();
         phase.toldBy(new HostId("b"));
-        assertThat(phase.heardOthers(3, START)).isTrue();
+        assertThat(phase.hasPeerPlacements(3, START)).isTrue();
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/news/SuspectChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/SuspectChannelTest.java
@@ -1,9 +1,9 @@
-package org.apricotstack.serving.news;
+package org.apricotstack.serving.gossip;
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.HostId;
@@ -13,7 +13,7 @@
 import org.apricotstack.core.peer.RequestRate;
 import org.apricotstack.core.suspect.RequestDigest;
 import org.apricotstack.core.suspect.SuspectTable;
-import org.apricotstack.core.upstream.UpstreamJudge;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -58,9 +58,9 @@
     @BeforeEach
     void connect() {
         PeerTable peers = new PeerTable();
-        NewsLinks links = new NewsLinks(loop, peers, NewsFrame::getDefaultInstance);
+        OutboundGossipStreams links = new OutboundGossipStreams(loop, peers, NewsFrame::getDefaultInstance);
         PublishedState state =
-                new PublishedState(null, new UpstreamTable(), new UpstreamJudge(), new EngineBoard(), log);
+                new PublishedState(null, new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
         RouterIdentity identity = new RouterIdentity(OWN, new DataCentreId("east"), port.address(), port.address(), 1);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> true, new RequestRate(0), () -> true);
         channel.tellThrough(new HeartbeatSender(
@@ -75,9 +75,9 @@
     }
 
     /** Takes nothing, as nobody sends here. */
-    private static final class Nobody implements NewsSink {
+    private static final class Nobody implements GossipHandler {
         @Override
-        public void frame(NewsFrame frame, NewsStream stream) {
+        public void frame(NewsFrame frame, InboundGossipStream stream) {
             throw new AssertionError("Nobody sends here.");
         }
 
@@ -104,20 +104,20 @@
 
     @Test
     void isUnderstoodByAnother() {
-        onLoop(() -> channel.ended(UPSTREAM, List.of(REQUEST), List.of(new RequestDigest(3, 4)), false));
+        onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(new RequestDigest(3, 4)), false));
         onLoop(() -> channel.take(told.build(), PEER));
-        assertThat(table.find(REQUEST, 0).endings())
+        assertThat(table.find(REQUEST, 0).crashes())
                 .singleElement()
                 .satisfies(one -> assertThat(one.upstream()).isEqualTo(UPSTREAM))
-                .satisfies(one -> assertThat(one.begun()).isFalse());
-        assertThat(table.find(new RequestDigest(3, 4), 0).endings().get(0).begun())
+                .satisfies(one -> assertThat(one.answerStarted()).isFalse());
+        assertThat(table.find(new RequestDigest(3, 4), 0).crashes().get(0).answerStarted())
                 .isTrue();
         assertThat(channel.heard()).isEqualTo(2);
     }
 
     @Test
     void tellsARouterThatMissedItHowLongAgoAnUpstreamEnded() {
-        onLoop(() -> channel.ended(UPSTREAM, List.of(REQUEST), List.of(), false));
+        onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(), false));
         onLoop(() -> channel.take(told.build(), PEER));
         nowMillis = 90_000;
         NewsFrame.Builder all = NewsFrame.newBuilder();
@@ -137,14 +137,14 @@
             nowMillis += ATTACK_GAP_MILLIS;
             RequestDigest request = new RequestDigest(i, i);
             UpstreamId upstream = new UpstreamId("upstream-" + i);
-            onLoop(() -> channel.ended(upstream, List.of(request), List.of(), false));
-            onLoop(() -> channel.trying(request, upstream, 1_000));
-            onLoop(() -> channel.tried(request));
+            onLoop(() -> channel.upstreamCrashed(upstream, List.of(request), List.of(), false));
+            onLoop(() -> channel.trialStarted(request, upstream, 1_000));
+            onLoop(() -> channel.trialEnded(request));
             bytes += takeTold();
         }
         assertThat(bytes).isLessThan(CONTROL_BYTES_PER_SECOND * ATTACK_MILLIS / 1_000);
         assertThat(channel.dropped()).isGreaterThan(2 * ends);
-        onLoop(() -> channel.ended(UPSTREAM, List.of(REQUEST), List.of(), true));
+        onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(), true));
         assertThat(told.getUpstreamEndedCount())
                 .as("a repeated end has an allowance of its own")
                 .isEqualTo(1);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/http/WithheldRequestTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/http/WithheldRequestTest.java
@@ -40,7 +40,7 @@
         }
 
         @Override
-        public void head(AnswerHead head, HttpResponse raw) {
+        public void head(ResponseHead head, HttpResponse raw) {
             answered();
         }
 
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitNews.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitGossip.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.ratelimit.RateLimit;
 
 /** A keeper that grants no permits, and counts what it is told. */
-final class DenyingLimitNews implements LimitNews {
+final class DenyingLimitGossip implements LimitGossip {
 
     static final long AGAIN_MILLIS = 900;
 
@@ -16,12 +16,12 @@
     int charged;
 
     @Override
-    public void told(UpstreamId upstream, LimitChange change, RateLimit limit) {
+    public void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit) {
         // Nobody else is to be told.
     }
 
     @Override
-    public String keeperOf(UpstreamId upstream) {
+    public String permitIssuerOf(UpstreamId upstream) {
         return "keeper";
     }
 
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/RequestFactsTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/RequestFactsTest.java
@@ -65,7 +65,7 @@
                 "h",
                 "/",
                 null,
-                CallerRequest.NO_LIMIT,
+                CallerRequest.NO_TIMEOUT,
                 null,
                 45_000,
                 800,
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -12,12 +12,12 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedBackOff;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedBackOff;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.notice.UpstreamNotice;
+import org.apricotstack.core.ratelimit.AdvertisedLimit;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.RateLimit;
-import org.apricotstack.core.ratelimit.StatedLimit;
 import org.apricotstack.core.upstream.UpstreamEntry;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
@@ -38,8 +38,8 @@
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
     private final LimitTable limits = new LimitTable();
-    private final DenyingLimitNews news = new DenyingLimitNews();
-    private final RunContext context = new RunContext(
+    private final DenyingLimitGossip news = new DenyingLimitGossip();
+    private final ServingContext context = new ServingContext(
             null,
             null,
             loop,
@@ -97,7 +97,9 @@
         private boolean taken(Consumer<UpstreamNotice> heard) {
             orders++;
             heard.accept(new UpstreamNotice(
-                    new StatedLimit(StatedLimit.Kind.STATED, 2), StatedDrain.ABSENT, StatedBackOff.ABSENT));
+                    new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
+                    AdvertisedDrain.ABSENT,
+                    AdvertisedBackOff.ABSENT));
             return true;
         }
 
@@ -110,7 +112,7 @@
     @Test
     void sendsOrdersToALimitedEngineAndCountsThem() {
         upstreams.put(HELPER);
-        limits.heard(HELPER.id(), new RateLimit(2, 0));
+        limits.reportedByPeer(HELPER.id(), new RateLimit(2, 0));
         EnginePlacement placement = new EnginePlacement(
                 new PlacementId(new ProcessId(new HostId("host"), 1), 1),
                 List.of(new EnginePart(LEAD.id(), 10, 300_000), new EnginePart(HELPER.id(), 10, 100_000)),
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.engine.EnginePart;
 import org.apricotstack.core.engine.EnginePlacement;
 import org.apricotstack.core.engine.EngineProfile;
@@ -15,12 +15,12 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
-import org.apricotstack.core.notice.StatedBackOff;
-import org.apricotstack.core.notice.StatedDrain;
+import org.apricotstack.core.notice.AdvertisedBackOff;
+import org.apricotstack.core.notice.AdvertisedDrain;
 import org.apricotstack.core.notice.UpstreamNotice;
+import org.apricotstack.core.ratelimit.AdvertisedLimit;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.RateLimit;
-import org.apricotstack.core.ratelimit.StatedLimit;
 import org.apricotstack.core.upstream.UpstreamEntry;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
@@ -66,11 +66,11 @@
     private Mono<EngineCalls.Report> report = Mono.just(new EngineCalls.Report(5, 3, 1));
     private UpstreamNotice notice = UpstreamNotice.NONE;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
-    private final EngineBoard board = new EngineBoard();
+    private final EngineLoadTable board = new EngineLoadTable();
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final LimitTable limits = new LimitTable();
-    private final DenyingLimitNews limitNews = new DenyingLimitNews();
-    private final RunContext context = new RunContext(
+    private final DenyingLimitGossip limitGossip = new DenyingLimitGossip();
+    private final ServingContext context = new ServingContext(
             null,
             null,
             loop,
@@ -85,7 +85,7 @@
             null,
             null,
             limits,
-            limitNews,
+            limitGossip,
             null,
             null,
             log,
@@ -133,7 +133,7 @@
     @Test
     void leavesStreamsAtAnEngineThatIsBusy() {
         assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.BUSY);
-        assertThat(board.load(ENGINE.id()).pace()).isEqualTo(5);
+        assertThat(board.load(ENGINE.id()).slowdown()).isEqualTo(5);
     }
 
     @Test
@@ -220,9 +220,9 @@
 
     @Test
     void takesAnEngineForBusyThatMayNotBeAskedAsItsLimitIsUsedUp() {
-        limits.heard(ENGINE.id(), new RateLimit(1, 0));
+        limits.reportedByPeer(ENGINE.id(), new RateLimit(1, 0));
         assertThat(check.reason(ALONE, false).block()).isEqualTo(Silence.BUSY);
-        assertThat(limitNews.asked).isEqualTo(1);
+        assertThat(limitGossip.asked).isEqualTo(1);
         assertThat(asked).isZero();
     }
 
@@ -230,7 +230,7 @@
     void readsALimitInAReport() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
-                new StatedLimit(StatedLimit.Kind.STATED, 3), StatedDrain.ABSENT, StatedBackOff.ABSENT);
+                new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
         check.reason(ALONE, false).block();
         assertThat(limits.find(ENGINE.id()).perSecond()).isEqualTo(3);
     }
@@ -239,8 +239,9 @@
     void takesAnEngineForBusyThatAskedForABackOffAndDoesNotAskIt() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
-        StatedBackOff backOff = new StatedBackOff(StatedBackOff.Kind.STATED, 3_000);
-        gates.answered(ENGINE.id(), new UpstreamNotice(StatedLimit.ABSENT, StatedDrain.ABSENT, backOff), 0, null);
+        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
+        gates.answered(
+                ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
         assertThat(gated.gone(ENGINE).block()).isFalse();
         assertThat(asked).isZero();
         nowMillis += 3_000;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
@@ -1,14 +1,14 @@
 package org.apricotstack.serving.run;
 
-import org.apricotstack.core.engine.EngineBoard;
+import org.apricotstack.core.engine.EngineLoadTable;
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.id.DataCentreId;
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.upstream.FailureKind;
+import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamEntry;
-import org.apricotstack.core.upstream.UpstreamJudge;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -33,15 +33,15 @@
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final UpstreamJudge judge = new UpstreamJudge();
-    private final RunContext context = new RunContext(
+    private final OutlierDetector judge = new OutlierDetector();
+    private final ServingContext context = new ServingContext(
             null,
             null,
             loop,
             null,
             upstreams,
             judge,
-            new EngineBoard(),
+            new EngineLoadTable(),
             null,
             null,
             null,
@@ -49,7 +49,7 @@
             null,
             null,
             new LimitTable(),
-            new DenyingLimitNews(),
+            new DenyingLimitGossip(),
             null,
             null,
             log,
@@ -65,7 +65,7 @@
     @EnumSource(names = {"NO_CONNECTION", "RESET", "SILENT", "FULL"})
     void avoidsNoUpstreamThatAnnouncedThatItLeaves(FailureKind kind) {
         upstreams.put(LEAVING);
-        upstreams.drains().heard(LEAVING.id(), 0, 0);
+        upstreams.drains().reportedByPeer(LEAVING.id(), 0, 0);
         new UpstreamChooser(context, new UpstreamGates(context)).failed(LEAVING.id(), kind);
         assertThat(judge.failureProbability(LEAVING.id(), 0)).isZero();
     }
