--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineCandidate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineCandidate.java
@@ -9,10 +9,10 @@
  * @param load what it is believed to be doing
  * @param failureProbability probability that a request sent to it fails, 0 to 1
  * @param reservable whether memory may be reserved at it
- * @param helps whether it may read parts of prompts that other engines answer
+ * @param mayHelp whether it may read parts of prompts that other engines answer
  */
 public record EngineCandidate(
-        UpstreamId engine, EngineLoad load, double failureProbability, boolean reservable, boolean helps) {
+        UpstreamId engine, EngineLoad load, double failureProbability, boolean reservable, boolean mayHelp) {
 
     /**
      * Creates an engine that may help others.
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoad.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoad.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * What one engine is believed to be doing: who reads, who writes, and how much memory is taken.
+ * What one engine is believed to be doing: who workMillis, who writes, and how much memory is taken.
  *
- * <p>While something is written the engine works in passes: all reading that waits when a pass begins is done in it,
- * and its results and the writers' next events come together at its end. While nothing is written there are no passes.
- * Then a part of a shared reading goes ahead of everything that came before it, other parts included, and a prompt that
- * it reads alone waits for all others. News that a prompt was read mark the end of a pass.
+ * <p>While something is written the engine works in batching: all prefill that waits when a pass begins is done in it,
+ * and its results and the writers' next events come together at its end. While nothing is written there are no
+ * batching.
+ * Then a part of a shared prefill goes ahead of everything that came before it, other parts included, and a prompt that
+ * it workMillis alone waits for all others. News that a prompt was read mark the end of a pass.
  */
 public final class EngineLoad {
 
@@ -17,22 +18,24 @@
     private static final double OVERDUE_MILLIS = 150;
 
     /** Reading that takes an engine away from short prompts, in milliseconds. */
-    private static final double BUSY_READ_MILLIS = 400;
+    private static final double BUSY_PREFILL_MILLIS = 400;
 
-    /** Passes that are followed one by one after a time without news; then the engine counts as between two passes. */
-    private static final int MOST_PASSES = 64;
+    /**
+     * Passes that are followed one by one after a time without news; then the engine counts as between two batching.
+     */
+    private static final int MAX_STEPS = 64;
 
-    private final ReadingQueue reading = new ReadingQueue();
-    private final Map<PlacementId, EnginePlacement> writing = new HashMap<>();
+    private final PrefillQueue prefills = new PrefillQueue();
+    private final Map<PlacementId, EnginePlacement> decoding = new HashMap<>();
     private final Map<PlacementId, Long> memoryByPlacement = new HashMap<>();
     private EngineProfile profile;
     private long memoryTokens;
-    private int shortLeads;
+    private int shortLeadCount;
     private long advancedMillis;
-    private double passBeganMillis;
-    private double passEndMillis;
+    private double stepStartMillis;
+    private double stepEndMillis;
     private double orphanedEndMillis;
-    private double progressMillis = Double.NEGATIVE_INFINITY;
+    private double lastFirstEventMillis = Double.NEGATIVE_INFINITY;
     private double slowdown = 1;
 
     /**
@@ -52,11 +55,11 @@
         advance(nowMillis);
         memoryTokens += part.memoryTokens();
         boolean lead = placement.lead().engine().equals(part.engine());
-        shortLeads += lead && placement.isShort() ? 1 : 0;
-        double due = nowMillis + readyMillis(part.prefillMillis(), placement.isShared(), nowMillis);
+        shortLeadCount += lead && placement.isShort() ? 1 : 0;
+        double due = nowMillis + prefillDoneMillis(part.prefillMillis(), placement.isShared(), nowMillis);
         double own = part.prefillMillis() * slowdown;
-        reading.postpone(placement.isShared(), !writing.isEmpty(), own);
-        reading.add(new PartReading(placement, lead, nowMillis, own, due));
+        prefills.postpone(placement.isShared(), !decoding.isEmpty(), own);
+        prefills.add(new PrefillPart(placement, lead, nowMillis, own, due));
     }
 
     /**
@@ -65,12 +68,12 @@
      * <p>It works on something that is not known here, or is stuck: whatever it is, new requests wait behind it too.
      */
     private double overdueMillis(long nowMillis) {
-        double overdue = reading.owedMillis(progressMillis, nowMillis);
+        double overdue = prefills.firstEventOverdueMillis(lastFirstEventMillis, nowMillis);
         return overdue > OVERDUE_MILLIS ? overdue : 0;
     }
 
     /** Returns for how long the engine is held by what no living router placed, as far as it is known. */
-    private double foreignMillis(long nowMillis) {
+    private double unattributedWorkMillis(long nowMillis) {
         return Math.max(overdueMillis(nowMillis), orphanedEndMillis - nowMillis);
     }
 
@@ -78,59 +81,59 @@
     private void advance(long nowMillis) {
         double elapsed = Math.max(0, nowMillis - advancedMillis);
         advancedMillis = Math.max(advancedMillis, nowMillis);
-        if (writing.isEmpty()) {
-            reading.read(elapsed);
-            passBeganMillis = nowMillis;
-            passEndMillis = nowMillis;
+        if (decoding.isEmpty()) {
+            prefills.progress(elapsed);
+            stepStartMillis = nowMillis;
+            stepEndMillis = nowMillis;
             return;
         }
-        for (int i = 0; passEndMillis <= nowMillis; i++) {
-            beginPass(i < MOST_PASSES ? passEndMillis : nowMillis);
+        for (int i = 0; stepEndMillis <= nowMillis; i++) {
+            startStep(i < MAX_STEPS ? stepEndMillis : nowMillis);
         }
     }
 
     /** Ends the pass that runs and begins the next one with all that waits. */
-    private void beginPass(double atMillis) {
-        if (atMillis < passEndMillis) {
-            reading.breakPass(atMillis - passBeganMillis);
+    private void startStep(double atMillis) {
+        if (atMillis < stepEndMillis) {
+            prefills.endStepEarly(atMillis - stepStartMillis);
         }
-        passBeganMillis = atMillis;
-        passEndMillis = atMillis + Math.max(1, passMillis()) + reading.nextPass();
+        stepStartMillis = atMillis;
+        stepEndMillis = atMillis + Math.max(1, batchStepMillis()) + prefills.advanceStep();
     }
 
     /** Notes that the prompt of a placement was read, which also ends a pass. */
     void startDecoding(PlacementId id, long nowMillis) {
         advance(nowMillis);
-        PartReading read = reading.take(id);
+        PrefillPart read = prefills.removePart(id);
         if (read != null && read.lead()) {
-            progressMillis = nowMillis;
-            writing.put(id, read.placement());
-            beginPass(nowMillis);
+            lastFirstEventMillis = nowMillis;
+            decoding.put(id, read.placement());
+            startStep(nowMillis);
         }
     }
 
     /**
-     * Takes a placement off whose router is gone. The engine may not notice and goes on reading, so what is left to
+     * Takes a placement off whose router is gone. The engine may not notice and goes on prefill, so what is left to
      * read
      * stays until it would have been read.
      */
     void orphan(PlacementId id, long nowMillis) {
         advance(nowMillis);
-        double left = 0;
-        for (PartReading part : reading.parts()) {
-            left += part.placement().id().equals(id) ? part.leftMillis() : 0;
+        double remaining = 0;
+        for (PrefillPart part : prefills.parts()) {
+            remaining += part.placement().id().equals(id) ? part.remainingMillis() : 0;
         }
         remove(id, nowMillis);
-        orphanedEndMillis = Math.max(orphanedEndMillis, nowMillis) + left;
+        orphanedEndMillis = Math.max(orphanedEndMillis, nowMillis) + remaining;
     }
 
     /** Takes a placement off. */
     void remove(PlacementId id, long nowMillis) {
         advance(nowMillis);
-        PartReading read = reading.take(id);
-        EnginePlacement written = writing.remove(id);
+        PrefillPart read = prefills.removePart(id);
+        EnginePlacement written = decoding.remove(id);
         if (read != null && read.lead() && read.placement().isShort() || written != null && written.isShort()) {
-            shortLeads--;
+            shortLeadCount--;
         }
         Long memory = memoryByPlacement.remove(id);
         memoryTokens -= memory == null ? 0 : memory;
@@ -139,10 +142,10 @@
     /**
      * Notes how slow the engine is.
      *
-     * @param seen 1 for the published figures, more for a slow engine
+     * @param factor 1 for the published figures, more for a slow engine
      */
-    public void slowdown(double seen) {
-        slowdown = Math.max(1, seen);
+    public void slowdown(double factor) {
+        slowdown = Math.max(1, factor);
     }
 
     /**
@@ -157,18 +160,23 @@
     /**
      * Predicts when a new part would have been read.
      *
-     * @param readMillis reading of the part at usual pace, in milliseconds
-     * @param isShared whether other engines share the reading
+     * @param prefillMillis prefill of the part at usual pace, in milliseconds
+     * @param isShared whether other engines share the prefill
      * @param nowMillis the time
      * @return milliseconds from now
      */
-    public double readyMillis(double readMillis, boolean isShared, long nowMillis) {
+    public double prefillDoneMillis(double prefillMillis, boolean isShared, long nowMillis) {
         advance(nowMillis);
-        double own = readMillis * slowdown;
-        if (writing.isEmpty()) {
-            return foreignMillis(nowMillis) + (isShared ? own : reading.leftMillis() + own);
+        double own = prefillMillis * slowdown;
+        if (decoding.isEmpty()) {
+            return unattributedWorkMillis(nowMillis) + (isShared ? own : prefills.remainingMillis() + own);
         }
-        return foreignMillis(nowMillis) + passEndMillis - nowMillis + passMillis() + reading.waitingMillis() + own;
+        return unattributedWorkMillis(nowMillis)
+                + stepEndMillis
+                - nowMillis
+                + batchStepMillis()
+                + prefills.waitingMillis()
+                + own;
     }
 
     /**
@@ -179,32 +187,33 @@
      */
     public double nextEventMillis(long nowMillis) {
         advance(nowMillis);
-        return foreignMillis(nowMillis) + passEndMillis - nowMillis;
+        return unattributedWorkMillis(nowMillis) + stepEndMillis - nowMillis;
     }
 
     /**
      * Predicts the pause of the writers in the pass that a new part would be read in.
      *
-     * @param readMillis reading of the part at usual pace, in milliseconds; 0 for the pass without a new part
+     * @param prefillMillis prefill of the part at usual pace, in milliseconds; 0 for the pass without a new part
      * @param nowMillis the time
      * @return milliseconds
      */
-    public double pauseMillis(double readMillis, long nowMillis) {
+    public double tokenGapMillis(double prefillMillis, long nowMillis) {
         advance(nowMillis);
-        return passMillis() + reading.waitingMillis() + readMillis * slowdown;
+        return batchStepMillis() + prefills.waitingMillis() + prefillMillis * slowdown;
     }
 
     /**
-     * Predicts the first pause of a new prompt's own answer. A shared part goes ahead of what an idle engine reads;
-     * with the answer's first event the engine begins to work in passes, and reads all the rest in the next one.
+     * Predicts the first pause of a new prompt's own answer. A shared part goes ahead of what an idle engine
+     * workMillis;
+     * with the answer's first event the engine begins to work in batching, and workMillis all the rest in the next one.
      *
-     * @param isShared whether other engines share the reading of the new prompt
+     * @param isShared whether other engines share the prefill of the new prompt
      * @param nowMillis the time
      * @return milliseconds
      */
-    double ownPauseMillis(boolean isShared, long nowMillis) {
+    double ownTokenGapMillis(boolean isShared, long nowMillis) {
         advance(nowMillis);
-        return passMillis() + (isShared && writing.isEmpty() ? reading.leftMillis() : 0);
+        return batchStepMillis() + (isShared && decoding.isEmpty() ? prefills.remainingMillis() : 0);
     }
 
     /**
@@ -213,7 +222,7 @@
      * @return requests that read or write
      */
     public int leadCount() {
-        return reading.leads() + writing.size();
+        return prefills.leadCount() + decoding.size();
     }
 
     /**
@@ -221,30 +230,30 @@
      *
      * @return requests
      */
-    public int shortLeads() {
-        return shortLeads;
+    public int shortLeadCount() {
+        return shortLeadCount;
     }
 
     /**
      * Estimates how much of the engine is in use.
      *
      * @param nowMillis the time
-     * @return 0 if it is idle, 1 if its slots are taken or it reads for longer than short prompts can wait
+     * @return 0 if it is idle, 1 if its slots are taken or it workMillis for longer than short prompts can wait
      */
-    public double busyShare(long nowMillis) {
+    public double utilization(long nowMillis) {
         advance(nowMillis);
-        double reads = reading.leftMillis() + Math.max(0, foreignMillis(nowMillis));
+        double workMillis = prefills.remainingMillis() + Math.max(0, unattributedWorkMillis(nowMillis));
         double slots = profile == null ? 1 : profile.slots();
-        return Math.min(1, Math.max(leadCount() / slots, reads / BUSY_READ_MILLIS));
+        return Math.min(1, Math.max(leadCount() / slots, workMillis / BUSY_PREFILL_MILLIS));
     }
 
     /**
-     * Returns for how many requests of other engines it reads.
+     * Returns for how many requests of other engines it workMillis.
      *
      * @return parts
      */
-    public int helps() {
-        return reading.helps();
+    public int helperCount() {
+        return prefills.helperCount();
     }
 
     /**
@@ -257,28 +266,29 @@
     }
 
     /** Predicts how long a pass takes in which nothing is read; 0 if nothing is written. */
-    private double passMillis() {
+    private double batchStepMillis() {
         if (profile == null) {
             return 0;
         }
         long context = 0;
-        for (EnginePlacement placement : writing.values()) {
+        for (EnginePlacement placement : decoding.values()) {
             context += placement.contextTokens();
         }
-        return profile.passMillis(writing.size(), context) * slowdown;
+        return profile.batchStepMillis(decoding.size(), context) * slowdown;
     }
 
     /**
-     * Adds up what the writing requests lose if their next pause has a given length.
+     * Adds up what the decoding requests lose if their next pause has a given length.
      *
-     * @param pauseMillis the pause, in milliseconds
+     * @param tokenGapMillis the pause, in milliseconds
      * @param spread spread of the prediction's error in relation to the target
      * @return value lost, in the units of {@link PromptValue}
      */
-    public double lossByPause(double pauseMillis, double spread) {
+    public double tokenGapLoss(double tokenGapMillis, double spread) {
         double loss = 0;
-        for (EnginePlacement placement : writing.values()) {
-            loss += placement.value() * PromptValue.lossByPause(pauseMillis, placement.tokenGapTargetMillis(), spread);
+        for (EnginePlacement placement : decoding.values()) {
+            loss += placement.value()
+                    * PromptValue.tokenGapLoss(tokenGapMillis, placement.tokenGapTargetMillis(), spread);
         }
         return loss;
     }
@@ -286,39 +296,39 @@
     /** Predicts when the part of a placement will have been read, in milliseconds from now; 0 if it was. */
     double remainingPrefillMillis(PlacementId id, long nowMillis) {
         double[] longest = new double[1];
-        eachReading(nowMillis, (part, readyMillis, passes) -> {
-            if (part.leftMillis() > 0 && part.placement().id().equals(id)) {
-                longest[0] = Math.max(longest[0], readyMillis);
+        forEachPrefill(nowMillis, (part, prefillDoneMillis, batching) -> {
+            if (part.remainingMillis() > 0 && part.placement().id().equals(id)) {
+                longest[0] = Math.max(longest[0], prefillDoneMillis);
             }
         });
         return longest[0];
     }
 
     /** Predicts when each part will have been read, those of the pass that runs too. */
-    void eachReading(long nowMillis, ReadingVisitor visitor) {
+    void forEachPrefill(long nowMillis, PrefillVisitor visitor) {
         advance(nowMillis);
-        boolean passes = !writing.isEmpty();
-        double passEnd = passEndMillis - nowMillis;
-        double nextPassEnd = passEnd + passMillis() + reading.waitingMillis();
+        boolean batching = !decoding.isEmpty();
+        double stepEnd = stepEndMillis - nowMillis;
+        double nextStepEnd = stepEnd + batchStepMillis() + prefills.waitingMillis();
         double ready = 0;
-        for (PartReading part : reading.parts()) {
-            ready += part.leftMillis();
-            double inPasses = part.waitingMillis() > 0 ? nextPassEnd : passEnd;
-            visitor.visit(part, passes ? inPasses : ready, passes);
+        for (PrefillPart part : prefills.parts()) {
+            ready += part.remainingMillis();
+            double batchedDone = part.waitingMillis() > 0 ? nextStepEnd : stepEnd;
+            visitor.visit(part, batching ? batchedDone : ready, batching);
         }
     }
 
-    /** Takes the parts that an engine reads. */
+    /** Takes the parts that an engine workMillis. */
     @FunctionalInterface
-    interface ReadingVisitor {
+    interface PrefillVisitor {
 
         /**
          * Takes one part.
          *
          * @param part the part
-         * @param readyMillis when it will have been read, from now
-         * @param passes whether the engine works in passes now
+         * @param prefillDoneMillis when it will have been read, from now
+         * @param batching whether the engine works in batching now
          */
-        void visit(PartReading part, double readyMillis, boolean passes);
+        void visit(PrefillPart part, double prefillDoneMillis, boolean batching);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
@@ -14,26 +14,26 @@
  * What this router believes that all engines are doing: its own placements and those that peers told of.
  *
  * <p>News of a placement that ends may be lost with the peer that would have sent it. Placements of a process that is
- * gone are taken off together ({@link #removeProcess}), and any is taken off after its time limit ({@link #expire}).
+ * removed are taken off together ({@link #removeProcess}), and any is taken off after its time limit ({@link #expire}).
  */
 public final class EngineLoadTable {
 
     private final Map<UpstreamId, EngineLoad> loads = new HashMap<>();
-    private final Map<PlacementId, Placed> placements = new HashMap<>();
+    private final Map<PlacementId, TrackedPlacement> placements = new HashMap<>();
 
     /**
-     * A placement and the time at which it is over in any case.
+     * A placement and the time at which it is expired in any case.
      *
      * @param placement the placement
-     * @param endMillis the time
+     * @param expiryMillis the time
      */
-    private record Placed(EnginePlacement placement, long endMillis) {}
+    private record TrackedPlacement(EnginePlacement placement, long expiryMillis) {}
 
     /**
      * Returns the load of one engine.
      *
      * @param engine the engine
-     * @return its load, which changes with the board
+     * @return its load, which changes with the loadTable
      */
     public EngineLoad load(UpstreamId engine) {
         return loads.computeIfAbsent(engine, id -> new EngineLoad());
@@ -48,7 +48,7 @@
      * @return whether it was not known
      */
     public boolean place(EnginePlacement placement, long nowMillis, long limitMillis) {
-        if (placements.putIfAbsent(placement.id(), new Placed(placement, nowMillis + limitMillis)) != null) {
+        if (placements.putIfAbsent(placement.id(), new TrackedPlacement(placement, nowMillis + limitMillis)) != null) {
             return false;
         }
         for (EnginePart part : placement.parts()) {
@@ -64,7 +64,7 @@
      * @param nowMillis the time
      */
     public void startDecoding(PlacementId id, long nowMillis) {
-        Placed placed = placements.get(id);
+        TrackedPlacement placed = placements.get(id);
         if (placed != null) {
             placed.placement().parts().forEach(part -> load(part.engine()).startDecoding(id, nowMillis));
         }
@@ -78,7 +78,7 @@
      * @return milliseconds from now; 0 if they have read them, or the placement is not known
      */
     public double remainingPrefillMillis(PlacementId id, long nowMillis) {
-        Placed placed = placements.get(id);
+        TrackedPlacement placed = placements.get(id);
         if (placed == null) {
             return 0;
         }
@@ -95,27 +95,27 @@
      * @param nowMillis the time
      */
     public void remove(PlacementId id, long nowMillis) {
-        Placed placed = placements.remove(id);
+        TrackedPlacement placed = placements.remove(id);
         if (placed != null) {
             placed.placement().parts().forEach(part -> load(part.engine()).remove(id, nowMillis));
         }
     }
 
     /**
-     * Takes off all placements of a router process that is gone.
+     * Takes off all placements of a router process that is removed.
      *
      * @param process the process
      * @param nowMillis the time
      */
     public void removeProcess(ProcessId process, long nowMillis) {
-        List<PlacementId> gone = new ArrayList<>();
+        List<PlacementId> removed = new ArrayList<>();
         for (PlacementId id : placements.keySet()) {
             if (id.process().equals(process)) {
-                gone.add(id);
+                removed.add(id);
             }
         }
-        for (PlacementId id : gone) {
-            Placed placed = placements.remove(id);
+        for (PlacementId id : removed) {
+            TrackedPlacement placed = placements.remove(id);
             placed.placement().parts().forEach(part -> load(part.engine()).orphan(id, nowMillis));
         }
     }
@@ -140,13 +140,13 @@
      * @param nowMillis the time
      */
     public void expire(long nowMillis) {
-        List<PlacementId> over = new ArrayList<>();
+        List<PlacementId> expired = new ArrayList<>();
         placements.forEach((id, placed) -> {
-            if (placed.endMillis() < nowMillis) {
-                over.add(id);
+            if (placed.expiryMillis() < nowMillis) {
+                expired.add(id);
             }
         });
-        over.forEach(id -> remove(id, nowMillis));
+        expired.forEach(id -> remove(id, nowMillis));
     }
 
     /**
@@ -156,8 +156,8 @@
      */
     public void retain(Predicate<UpstreamId> listed) {
         loads.entrySet()
-                .removeIf(
-                        one -> one.getValue().leadCount() + one.getValue().helps() == 0 && !listed.test(one.getKey()));
+                .removeIf(one ->
+                        one.getValue().leadCount() + one.getValue().helperCount() == 0 && !listed.test(one.getKey()));
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
@@ -8,17 +8,18 @@
 /**
  * The placements of this router that have not ended, as a router that did not hear of them has to learn them.
  *
- * <p>A router that has just started, or was cut off for a while, has an empty board and would send prompts to engines
+ * <p>A router that has just started, or was cut off for a while, has an empty loadTable and would send prompts to
+ * engines
  * that are full. It is told of the open placements when a stream of news to it opens.
  */
 public final class InFlightPlacements {
 
-    private final Map<PlacementId, Placed> placed = new LinkedHashMap<>();
+    private final Map<PlacementId, TrackedPlacement> placed = new LinkedHashMap<>();
 
     /**
      * A placement that has not ended.
      *
-     * @param placement the placement; its parts hold what is left to read
+     * @param placement the placement; its parts hold what is remaining to read
      * @param limitMillis longest time that the request may still take, in milliseconds
      * @param decoding whether its answer is being written
      */
@@ -30,24 +31,24 @@
      * @param placement the placement
      * @param atMillis when it was made
      * @param limitMillis longest time that the request might take then, in milliseconds
-     * @param writing whether its answer is being written
+     * @param decoding whether its answer is being written
      */
-    private record Placed(EnginePlacement placement, long atMillis, long limitMillis, boolean writing) {
+    private record TrackedPlacement(EnginePlacement placement, long atMillis, long limitMillis, boolean decoding) {
 
-        /** Returns what is left of it. */
-        private Entry open(long nowMillis) {
+        /** Returns what is remaining of it. */
+        private Entry remainingAt(long nowMillis) {
             long elapsed = nowMillis - atMillis;
-            List<EnginePart> left = placement.parts().stream()
+            List<EnginePart> remaining = placement.parts().stream()
                     .map(part -> new EnginePart(
                             part.engine(), Math.max(0, part.prefillMillis() - elapsed), part.memoryTokens()))
                     .toList();
-            EnginePlacement rest = new EnginePlacement(
+            EnginePlacement remainingPlacement = new EnginePlacement(
                     placement.id(),
-                    left,
+                    remaining,
                     placement.contextTokens(),
                     Math.max(1, placement.targetLatencyMillis() - elapsed),
                     placement.tokenGapTargetMillis());
-            return new Entry(rest, limitMillis - elapsed, writing);
+            return new Entry(remainingPlacement, limitMillis - elapsed, decoding);
         }
     }
 
@@ -59,7 +60,7 @@
      * @param nowMillis the time
      */
     public void place(EnginePlacement placement, long limitMillis, long nowMillis) {
-        placed.put(placement.id(), new Placed(placement, nowMillis, limitMillis, false));
+        placed.put(placement.id(), new TrackedPlacement(placement, nowMillis, limitMillis, false));
     }
 
     /**
@@ -69,7 +70,7 @@
      */
     public void startDecoding(PlacementId id) {
         placed.computeIfPresent(
-                id, (same, one) -> new Placed(one.placement(), one.atMillis(), one.limitMillis(), true));
+                id, (same, one) -> new TrackedPlacement(one.placement(), one.atMillis(), one.limitMillis(), true));
     }
 
     /**
@@ -89,10 +90,10 @@
      */
     public List<Entry> at(long nowMillis) {
         List<Entry> open = new ArrayList<>(placed.size());
-        for (Placed one : placed.values()) {
-            Entry left = one.open(nowMillis);
-            if (left.limitMillis() > 0) {
-                open.add(left);
+        for (TrackedPlacement one : placed.values()) {
+            Entry remaining = one.remainingAt(nowMillis);
+            if (remaining.limitMillis() > 0) {
+                open.add(remaining);
             }
         }
         return open;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/Lateness.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/Lateness.java
@@ -13,7 +13,7 @@
      * Spread of the error of a predicted pause in relation to its target. A pause is one pass, of which all is known
      * but what others place in that moment.
      */
-    static final double PAUSE_SPREAD = 0.05;
+    static final double TOKEN_GAP_SPREAD = 0.05;
 
     private Lateness() {}
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/OpenReadings.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PendingPrefills.java
@@ -15,40 +15,40 @@
  * delays the prompt once. Added up over its parts, a prompt that 14 engines read would look 14 times as precious, and
  * new ones would go to a single engine each rather than beside it.
  */
-final class OpenReadings {
+final class PendingPrefills {
 
     private final Map<UpstreamId, List<Part>> byEngine = new HashMap<>();
-    private final Map<PlacementId, Double> wholeMillis = new HashMap<>();
+    private final Map<PlacementId, Double> doneMillisByPlacement = new HashMap<>();
     private final long nowMillis;
 
     /**
      * A part that an engine reads.
      *
-     * @param reading the part
-     * @param readyMillis when it will have been read, from now
-     * @param passes whether its engine works in passes
+     * @param prefill the part
+     * @param prefillDoneMillis when it will have been read, from now
+     * @param batching whether its engine works in batching
      */
-    private record Part(PartReading reading, double readyMillis, boolean passes) {
+    private record Part(PrefillPart prefill, double prefillDoneMillis, boolean batching) {
 
         /** Returns the placement that it belongs to. */
         private PlacementId id() {
-            return reading.placement().id();
+            return prefill.placement().id();
         }
 
         /** Tells whether a new part on its engine delays it. */
-        private boolean waitsFor(boolean isShared) {
-            return reading.waitingMillis() > 0 && reading.delayedBy(isShared, passes);
+        private boolean isDelayed(boolean isShared) {
+            return prefill.waitingMillis() > 0 && prefill.delayedBy(isShared, batching);
         }
     }
 
     /** Looks at all engines. */
-    OpenReadings(List<EngineCandidate> candidates, long nowMillis) {
+    PendingPrefills(List<EngineCandidate> candidates, long nowMillis) {
         this.nowMillis = nowMillis;
         for (EngineCandidate candidate : candidates) {
             List<Part> parts = new ArrayList<>();
-            candidate.load().eachReading(nowMillis, (reading, readyMillis, passes) -> {
-                parts.add(new Part(reading, readyMillis, passes));
-                wholeMillis.merge(reading.placement().id(), readyMillis, Math::max);
+            candidate.load().forEachPrefill(nowMillis, (prefill, prefillDoneMillis, batching) -> {
+                parts.add(new Part(prefill, prefillDoneMillis, batching));
+                doneMillisByPlacement.merge(prefill.placement().id(), prefillDoneMillis, Math::max);
             });
             byEngine.put(candidate.engine(), parts);
         }
@@ -58,38 +58,39 @@
      * Adds up what open prompts lose if one engine reads a new part.
      *
      * @param candidate the engine
-     * @param readMillis reading of the part at usual pace, in milliseconds
-     * @param isShared whether other engines share the new reading, so that it goes ahead of what waits
+     * @param prefillMillis prefill of the part at usual pace, in milliseconds
+     * @param isShared whether other engines share the new prefill, so that it goes ahead of what waits
      * @return value lost beyond what is lost already, in the units of {@link PromptValue}
      */
-    double loss(EngineCandidate candidate, double readMillis, boolean isShared) {
-        return loss(List.of(candidate), readMillis, isShared);
+    double loss(EngineCandidate candidate, double prefillMillis, boolean isShared) {
+        return loss(List.of(candidate), prefillMillis, isShared);
     }
 
     /**
      * Adds up what open prompts lose if some engines read a part of a new one each.
      *
      * @param engines the engines
-     * @param readMillis reading of each part at usual pace, in milliseconds
-     * @param isShared whether the new reading is shared, so that it goes ahead of what waits
+     * @param prefillMillis prefill of each part at usual pace, in milliseconds
+     * @param isShared whether the new prefill is shared, so that it goes ahead of what waits
      * @return value lost beyond what is lost already, in the units of {@link PromptValue}
      */
-    double loss(List<EngineCandidate> engines, double readMillis, boolean isShared) {
+    double loss(List<EngineCandidate> engines, double prefillMillis, boolean isShared) {
         Map<PlacementId, Part> delayed = new HashMap<>();
-        Map<PlacementId, Double> readyMillis = new HashMap<>();
+        Map<PlacementId, Double> prefillDoneMillis = new HashMap<>();
         for (EngineCandidate candidate : engines) {
-            double delay = readMillis * candidate.load().slowdown();
+            double delay = prefillMillis * candidate.load().slowdown();
             for (Part part : byEngine.get(candidate.engine())) {
-                if (part.waitsFor(isShared) && part.readyMillis() + delay > wholeMillis.get(part.id())) {
+                if (part.isDelayed(isShared)
+                        && part.prefillDoneMillis() + delay > doneMillisByPlacement.get(part.id())) {
                     delayed.putIfAbsent(part.id(), part);
-                    readyMillis.merge(part.id(), part.readyMillis() + delay, Math::max);
+                    prefillDoneMillis.merge(part.id(), part.prefillDoneMillis() + delay, Math::max);
                 }
             }
         }
         double loss = 0;
         for (Part part : delayed.values()) {
-            double whole = wholeMillis.get(part.id());
-            loss += part.reading().lossByDelay(whole, readyMillis.get(part.id()) - whole, nowMillis);
+            double done = doneMillisByPlacement.get(part.id());
+            loss += part.prefill().delayLoss(done, prefillDoneMillis.get(part.id()) - done, nowMillis);
         }
         return loss;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementChoice.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementChoice.java
@@ -7,17 +7,17 @@
  *
  * @param parts what each engine does; the first writes the answer; empty if no engine can run the prompt in time
  * @param firstTokenMillis predicted time to the first event, in milliseconds
- * @param pauseMillis predicted longest pause that the placement makes on its engines, in milliseconds
+ * @param tokenGapMillis predicted longest pause that the placement makes on its engines, in milliseconds
  * @param cost expected loss of value by it, of the prompt's own answer too
- * @param harm the part of the cost that others bear
+ * @param costToOthers the part of the cost that others bear
  * @param reservesMemory whether memory must be reserved at the helpers, as the first engine cannot hold the prompt
  */
 public record PlacementChoice(
         List<EnginePart> parts,
         double firstTokenMillis,
-        double pauseMillis,
+        double tokenGapMillis,
         double cost,
-        double harm,
+        double costToOthers,
         boolean reservesMemory) {
 
     /** Copies the list. */
@@ -31,8 +31,9 @@
      * @param price what is added
      * @return the choice
      */
-    PlacementChoice plus(double price) {
-        return new PlacementChoice(parts, firstTokenMillis, pauseMillis, cost + price, harm + price, reservesMemory);
+    PlacementChoice withAddedCost(double price) {
+        return new PlacementChoice(
+                parts, firstTokenMillis, tokenGapMillis, cost + price, costToOthers + price, reservesMemory);
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/ReadingQueue.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PrefillQueue.java
@@ -8,12 +8,12 @@
  * that it
  * reads alone, the oldest ahead.
  */
-final class ReadingQueue {
+final class PrefillQueue {
 
-    private final List<PartReading> parts = new ArrayList<>();
+    private final List<PrefillPart> parts = new ArrayList<>();
 
     /** Adds a part. */
-    void add(PartReading part) {
+    void add(PrefillPart part) {
         if (part.placement().isShared()) {
             parts.add(0, part);
         } else {
@@ -22,8 +22,8 @@
     }
 
     /** Takes the part of a placement off; {@code null} if there is none. */
-    PartReading take(PlacementId id) {
-        for (PartReading part : parts) {
+    PrefillPart removePart(PlacementId id) {
+        for (PrefillPart part : parts) {
             if (part.placement().id().equals(id)) {
                 parts.remove(part);
                 return part;
@@ -33,29 +33,29 @@
     }
 
     /** Returns the parts in the order in which they are read. */
-    List<PartReading> parts() {
+    List<PrefillPart> parts() {
         return parts;
     }
 
     /** Returns the number of prompts that the engine will answer. */
-    int leads() {
+    int leadCount() {
         int leads = 0;
-        for (PartReading part : parts) {
+        for (PrefillPart part : parts) {
             leads += part.lead() ? 1 : 0;
         }
         return leads;
     }
 
     /** Returns the number of parts that are read for other engines. */
-    int helps() {
-        return parts.size() - leads();
+    int helperCount() {
+        return parts.size() - leadCount();
     }
 
-    /** Reads for a time without passes. */
-    void read(double millis) {
+    /** Reads for a time without batching. */
+    void progress(double millis) {
         double rest = millis;
-        for (PartReading part : parts) {
-            rest = part.read(rest);
+        for (PrefillPart part : parts) {
+            rest = part.progress(rest);
         }
     }
 
@@ -65,27 +65,27 @@
      * <p>Taken as read, a long part would vanish from an engine with the first event of a short prompt that was read
      * ahead of it, and short prompts would follow to an engine that reads on.
      */
-    void breakPass(double afterMillis) {
+    void endStepEarly(double afterMillis) {
         double rest = Math.max(0, afterMillis);
-        for (PartReading part : parts) {
-            rest = part.breakPass(rest);
+        for (PrefillPart part : parts) {
+            rest = part.endStepEarly(rest);
         }
     }
 
     /** Ends a pass and begins the next one; returns for how long is read in it. */
-    double nextPass() {
+    double advanceStep() {
         double total = 0;
-        for (PartReading part : parts) {
-            total += part.nextPass();
+        for (PrefillPart part : parts) {
+            total += part.advanceStep();
         }
         return total;
     }
 
     /** Returns what is left to read, in milliseconds. */
-    double leftMillis() {
+    double remainingMillis() {
         double total = 0;
-        for (PartReading part : parts) {
-            total += part.leftMillis();
+        for (PrefillPart part : parts) {
+            total += part.remainingMillis();
         }
         return total;
     }
@@ -93,29 +93,29 @@
     /** Returns what is read in the next pass, in milliseconds. */
     double waitingMillis() {
         double total = 0;
-        for (PartReading part : parts) {
+        for (PrefillPart part : parts) {
             total += part.waitingMillis();
         }
         return total;
     }
 
     /** Lets what waits be due later, as a new part is read before or with it. */
-    void postpone(boolean sharedNewPart, boolean passes, double byMillis) {
-        for (PartReading part : parts) {
-            if (part.delayedBy(sharedNewPart, passes)) {
+    void postpone(boolean sharedNewPart, boolean batching, double byMillis) {
+        for (PrefillPart part : parts) {
+            if (part.delayedBy(sharedNewPart, batching)) {
                 part.postpone(byMillis);
             }
         }
     }
 
-    /** Returns for how long the engine has owed a first event, leaving out those due before it last gave one. */
-    double owedMillis(double progressMillis, long nowMillis) {
-        double owed = 0;
-        for (PartReading part : parts) {
-            if (part.lead() && part.dueMillis() > progressMillis) {
-                owed = Math.max(owed, nowMillis - part.dueMillis());
+    /** Returns for how long the engine has overdue a first event, leaving out those due before it last gave one. */
+    double firstEventOverdueMillis(double lastFirstEventMillis, long nowMillis) {
+        double overdue = 0;
+        for (PrefillPart part : parts) {
+            if (part.lead() && part.dueMillis() > lastFirstEventMillis) {
+                overdue = Math.max(overdue, nowMillis - part.dueMillis());
             }
         }
-        return owed;
+        return overdue;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EnginePlacerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EnginePlacerTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import static org.apricotstack.core.engine.EngineTestData.board;
 import static org.apricotstack.core.engine.EngineTestData.candidates;
 import static org.apricotstack.core.engine.EngineTestData.engine;
+import static org.apricotstack.core.engine.EngineTestData.loadTable;
 import static org.apricotstack.core.engine.EngineTestData.placement;
 import static org.apricotstack.core.engine.EngineTestData.request;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -19,16 +19,16 @@
     private static final int ENGINES = 8;
 
     private final EnginePlacer placer = new EnginePlacer(EngineTestData.PROFILE);
-    private final EngineLoadTable board = board(ENGINES);
+    private final EngineLoadTable loadTable = loadTable(ENGINES);
 
     private PlacementChoice choose(long tokens) {
-        return placer.choose(request(tokens), candidates(board, ENGINES), 0);
+        return placer.choose(request(tokens), candidates(loadTable, ENGINES), 0);
     }
 
     private void write(long tokens, int engine) {
         EnginePlacement placement = placement(tokens, engine);
-        board.place(placement, 0, 60_000);
-        board.startDecoding(placement.id(), 0);
+        loadTable.place(placement, 0, 60_000);
+        loadTable.startDecoding(placement.id(), 0);
     }
 
     private static List<UpstreamId> engines(PlacementChoice choice) {
@@ -43,7 +43,7 @@
 
     /**
      * Symptom: short streams paused for over a second in the busy part of a day. Sequence: short prompts write on some
-     * engines, a long one arrives. Cause: its reading was put beside the writers, whose pass then lasts as long as it.
+     * engines, a long one arrives. Cause: its prefill was put beside the writers, whose pass then lasts as long as it.
      */
     @ParameterizedTest
     @ValueSource(longs = {45_000, 150_000, 280_000})
@@ -56,11 +56,11 @@
 
     @Test
     void movesTheBorderWithTheNumberOfShortPrompts() {
-        assertThat(EnginePlacer.border(candidates(board, ENGINES))).isEqualTo(2);
+        assertThat(EnginePlacer.shortPoolSize(candidates(loadTable, ENGINES))).isEqualTo(2);
         for (int i = 0; i < 30; i++) {
             write(4_000, i % 4);
         }
-        assertThat(EnginePlacer.border(candidates(board, ENGINES))).isEqualTo(6);
+        assertThat(EnginePlacer.shortPoolSize(candidates(loadTable, ENGINES))).isEqualTo(6);
     }
 
     @Test
@@ -87,7 +87,7 @@
      */
     @Test
     void reservesNoMemoryWhereOrdersAreLost() {
-        List<EngineCandidate> some = candidates(board, ENGINES).stream()
+        List<EngineCandidate> some = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(
                         candidate.engine(),
                         candidate.load(),
@@ -102,7 +102,7 @@
 
     @Test
     void letsNoEngineHelpThatMayNot() {
-        List<EngineCandidate> some = candidates(board, ENGINES).stream()
+        List<EngineCandidate> some = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(
                         candidate.engine(),
                         candidate.load(),
@@ -118,7 +118,7 @@
 
     @Test
     void avoidsAnEngineThatIsLikelyToFail() {
-        List<EngineCandidate> candidates = candidates(board, ENGINES).stream()
+        List<EngineCandidate> candidates = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> candidate.engine().equals(engine(0))
                         ? new EngineCandidate(candidate.engine(), candidate.load(), 0.95, true)
                         : candidate)
@@ -129,10 +129,10 @@
     @Test
     void findsNoEngineOnceTheCallerWouldHaveLeft() {
         for (int i = 0; i < ENGINES; i++) {
-            board.place(placement(290_000, i), 0, 60_000);
+            loadTable.place(placement(290_000, i), 0, 60_000);
             write(4_000, i);
-            board.place(placement(290_000, i), 0, 60_000);
-            board.place(placement(290_000, i), 0, 60_000);
+            loadTable.place(placement(290_000, i), 0, 60_000);
+            loadTable.place(placement(290_000, i), 0, 60_000);
         }
         assertThat(choose(4_000).found()).isFalse();
     }
@@ -156,14 +156,14 @@
     /**
      * Symptom: prompts of 200,000 tokens took seven seconds beside engines that could have read them together in one.
      * Sequence: one prompt is read by all engines, the next one arrives. Cause: the delay of the first was counted for
-     * each of its parts, so that reading the second on one engine alone, and late, looked cheaper.
+     * each of its parts, so that prefill the second on one engine alone, and late, looked cheaper.
      */
     @Test
     void sharesALongPromptBesideOneThatAllEnginesRead() {
         EnginePlacement read = placement(100_000, 0, 1, 2, 3, 4, 5, 6, 7);
-        board.place(new EnginePlacement(read.id(), read.parts(), 100_000, 90, 1_000), 0, 60_000);
+        loadTable.place(new EnginePlacement(read.id(), read.parts(), 100_000, 90, 1_000), 0, 60_000);
         PromptRequest next = new PromptRequest(290_000, 800, 300, 1_000, 10_800, 0);
-        PlacementChoice choice = placer.choose(next, candidates(board, ENGINES), 20);
+        PlacementChoice choice = placer.choose(next, candidates(loadTable, ENGINES), 20);
         assertThat(choice.parts().size()).isGreaterThan(4);
         assertThat(choice.firstTokenMillis()).isLessThan(300);
     }
@@ -177,13 +177,13 @@
     void beginsNoShortAnswerOnAnEngineInTheMiddleOfALongReading() {
         for (int i = 0; i < 4; i += 2) {
             EnginePlacement longOne = placement(1_000_000, i, i + 1);
-            board.place(new EnginePlacement(longOne.id(), longOne.parts(), 1_000_000, 30_000, 1_000), 0, 60_000);
+            loadTable.place(new EnginePlacement(longOne.id(), longOne.parts(), 1_000_000, 30_000, 1_000), 0, 60_000);
         }
         for (int i = 4; i < ENGINES; i++) {
             write(4_000, i);
         }
         PromptRequest hasty = new PromptRequest(16_000, 800, 100, 250, 1_800, 0);
-        PlacementChoice choice = placer.choose(hasty, candidates(board, ENGINES), 10);
+        PlacementChoice choice = placer.choose(hasty, candidates(loadTable, ENGINES), 10);
         assertThat(choice.parts().get(0).engine()).isGreaterThanOrEqualTo(engine(4));
     }
 
@@ -199,9 +199,10 @@
         }
         PromptRequest patient = new PromptRequest(340_000, 800, 3_000, 1_000, 10_800, 0);
         PromptRequest hasty = new PromptRequest(340_000, 800, 3_000, 1_000, 500, 0);
-        int cheapest =
-                placer.choose(patient, candidates(board, ENGINES), 0).parts().size();
-        PlacementChoice fast = placer.choose(hasty, candidates(board, ENGINES), 0);
+        int cheapest = placer.choose(patient, candidates(loadTable, ENGINES), 0)
+                .parts()
+                .size();
+        PlacementChoice fast = placer.choose(hasty, candidates(loadTable, ENGINES), 0);
         assertThat(fast.found()).isTrue();
         assertThat(fast.firstTokenMillis()).isLessThanOrEqualTo(500);
         assertThat(fast.parts().size()).isGreaterThan(cheapest);
@@ -209,15 +210,15 @@
 
     /**
      * Symptom: a broken stream waited until its caller left, beside idle engines. Sequence: all engines are likely to
-     * fail. Cause: the likely failure of the prompt itself counted as harm to others.
+     * fail. Cause: the likely failure of the prompt itself counted as costToOthers to others.
      */
     @Test
     void countsAsHarmOnlyWhatOthersLose() {
-        List<EngineCandidate> doubtful = candidates(board, ENGINES).stream()
+        List<EngineCandidate> doubtful = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(candidate.engine(), candidate.load(), 0.95, true))
                 .toList();
         PlacementChoice choice = placer.choose(request(4_000), doubtful, 0);
         assertThat(choice.cost()).isGreaterThan(PromptValue.of(4_000) * 0.9);
-        assertThat(choice.harm()).isLessThan(0.1);
+        assertThat(choice.costToOthers()).isLessThan(0.1);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
@@ -22,7 +22,7 @@
         return new UpstreamId("engine-" + (char) ('a' + number));
     }
 
-    /** Makes a placement whose reading is shared evenly by some engines. */
+    /** Makes a placement whose prefill is shared evenly by some engines. */
     static EnginePlacement placement(long tokens, int... engines) {
         List<EnginePart> parts = new ArrayList<>();
         for (int engine : engines) {
@@ -38,19 +38,19 @@
                 pause);
     }
 
-    /** Makes a board of idle engines. */
-    static EngineLoadTable board(int engines) {
-        EngineLoadTable board = new EngineLoadTable();
+    /** Makes a loadTable of idle engines. */
+    static EngineLoadTable loadTable(int engines) {
+        EngineLoadTable loadTable = new EngineLoadTable();
         for (int i = 0; i < engines; i++) {
-            board.load(engine(i)).profile(PROFILE);
+            loadTable.load(engine(i)).profile(PROFILE);
         }
-        return board;
+        return loadTable;
     }
 
-    static List<EngineCandidate> candidates(EngineLoadTable board, int engines) {
+    static List<EngineCandidate> candidates(EngineLoadTable loadTable, int engines) {
         List<EngineCandidate> candidates = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            candidates.add(new EngineCandidate(engine(i), board.load(engine(i)), 0, true));
+            candidates.add(new EngineCandidate(engine(i), loadTable.load(engine(i)), 0, true));
         }
         return candidates;
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/OpenPlacementsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
@@ -9,15 +9,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class OpenPlacementsTest {
+class InFlightPlacementsTest {
 
     private static final UpstreamId ENGINE = new UpstreamId("engine-1");
     private static final ProcessId ROUTER = new ProcessId(new HostId("router-1"), 1);
 
     private final InFlightPlacements open = new InFlightPlacements();
 
-    private static EnginePlacement placement(long number, double readMillis) {
-        EnginePart part = new EnginePart(ENGINE, readMillis, 5_000);
+    private static EnginePlacement placement(long number, double prefillMillis) {
+        EnginePart part = new EnginePart(ENGINE, prefillMillis, 5_000);
         return new EnginePlacement(new PlacementId(ROUTER, number), List.of(part), 5_000, 300, 250);
     }
 
@@ -55,13 +55,13 @@
      */
     @Test
     void fillsTheBoardOfARouterThatDidNotHearOfThem() {
-        EngineLoadTable board = new EngineLoadTable();
+        EngineLoadTable loadTable = new EngineLoadTable();
         EnginePlacement known = placement(1, 100);
-        board.place(known, 0, 10_000);
+        loadTable.place(known, 0, 10_000);
         open.place(known, 10_000, 0);
         open.place(placement(2, 100), 10_000, 0);
-        open.at(50).forEach(one -> board.place(one.placement(), 50, one.limitMillis()));
-        assertThat(board.size()).isEqualTo(2);
-        assertThat(board.load(ENGINE).leadCount()).isEqualTo(2);
+        open.at(50).forEach(one -> loadTable.place(one.placement(), 50, one.limitMillis()));
+        assertThat(loadTable.size()).isEqualTo(2);
+        assertThat(loadTable.load(ENGINE).leadCount()).isEqualTo(2);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/OwnOrderTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PerRouterEngineOrderTest.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class OwnOrderTest {
+class PerRouterEngineOrderTest {
 
     private static final int ENGINES = 23;
     private static final int ROUTERS = 7;
@@ -32,7 +32,7 @@
 
     @Test
     void isTheSameForOneProcessAndAnotherForEachOther() {
-        List<EngineCandidate> common = EngineTestData.candidates(EngineTestData.board(ENGINES), ENGINES);
+        List<EngineCandidate> common = EngineTestData.candidates(EngineTestData.loadTable(ENGINES), ENGINES);
         List<UpstreamId> one = engines(PerRouterEngineOrder.of(process(1), common));
         assertThat(one).isEqualTo(engines(PerRouterEngineOrder.of(process(1), common)));
         assertThat(one).containsExactlyInAnyOrderElementsOf(engines(common));
@@ -56,19 +56,19 @@
         Map<UpstreamId, Integer> prompts = new HashMap<>();
         EnginePlacer placer = new EnginePlacer(EngineTestData.PROFILE);
         for (int router = 0; router < ROUTERS; router++) {
-            EngineLoadTable board = EngineTestData.board(ENGINES);
-            List<EngineCandidate> common = EngineTestData.candidates(board, ENGINES);
+            EngineLoadTable loadTable = EngineTestData.loadTable(ENGINES);
+            List<EngineCandidate> common = EngineTestData.candidates(loadTable, ENGINES);
             List<EngineCandidate> order = ownOrder ? PerRouterEngineOrder.of(process(router), common) : common;
-            List<EnginePlacement> reading = new ArrayList<>();
+            List<EnginePlacement> prefill = new ArrayList<>();
             for (int i = 0; i < PROMPTS_EACH; i++) {
                 long now = i * MILLIS_BETWEEN_PROMPTS;
-                reading.forEach(placed -> board.startDecoding(placed.id(), now));
-                reading.clear();
+                prefill.forEach(placed -> loadTable.startDecoding(placed.id(), now));
+                prefill.clear();
                 PlacementChoice choice = placer.choose(EngineTestData.request(4_000), order, now);
                 EnginePlacement placed =
                         new EnginePlacement(new PlacementId(process(router), i), choice.parts(), 4_000, 300, 250);
-                board.place(placed, now, 10_000);
-                reading.add(placed);
+                loadTable.place(placed, now, 10_000);
+                prefill.add(placed);
                 prompts.merge(placed.lead().engine(), 1, Integer::sum);
             }
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/RoomWaitTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PromptAdmissionTest.java
@@ -8,7 +8,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RoomWaitTest {
+class PromptAdmissionTest {
 
     private static final int ENGINES = 8;
 
@@ -17,8 +17,8 @@
     @ParameterizedTest
     @CsvSource({"0, false", "0.99, false", "1.01, true", "3, true"})
     void findsAChoiceDearOnceOthersLoseMoreThanItsValue(double harmInValues, boolean dear) {
-        double harm = harmInValues * PromptValue.of(LONG_TOKENS);
-        PlacementChoice choice = new PlacementChoice(List.of(), 1_000, 0, harm, harm, false);
+        double costToOthers = harmInValues * PromptValue.of(LONG_TOKENS);
+        PlacementChoice choice = new PlacementChoice(List.of(), 1_000, 0, costToOthers, costToOthers, false);
 
         assertThat(PromptAdmission.isExpensive(choice, LONG_TOKENS)).isEqualTo(dear);
     }
@@ -41,8 +41,9 @@
     void refusesWhatCostsOthersSeveralTimesWhatIsLeftOfItsValue(
             double ownLossInValues, double harmInValues, boolean refused) {
         double value = PromptValue.of(LONG_TOKENS);
-        double harm = harmInValues * value;
-        PlacementChoice choice = new PlacementChoice(List.of(), 9_000, 0, harm + ownLossInValues * value, harm, false);
+        double costToOthers = harmInValues * value;
+        PlacementChoice choice =
+                new PlacementChoice(List.of(), 9_000, 0, costToOthers + ownLossInValues * value, costToOthers, false);
 
         assertThat(PromptAdmission.isRefused(choice, LONG_TOKENS)).isEqualTo(refused);
     }
@@ -55,8 +56,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, 5_000, 45_000, LONG_TOKENS})
     void triesIdleEnginesThatAreLikelyToFail(long promptTokens) {
-        EngineLoadTable board = EngineTestData.board(ENGINES);
-        List<EngineCandidate> doubtful = EngineTestData.candidates(board, ENGINES).stream()
+        EngineLoadTable loadTable = EngineTestData.loadTable(ENGINES);
+        List<EngineCandidate> doubtful = EngineTestData.candidates(loadTable, ENGINES).stream()
                 .map(engine -> new EngineCandidate(engine.engine(), engine.load(), 0.95, true))
                 .toList();
 
@@ -67,7 +68,7 @@
         assertThat(PromptAdmission.isRefused(choice, promptTokens)).isFalse();
     }
 
-    /** Callers wait 10 s for the first event; writing the answer takes 2.5 s. */
+    /** Callers wait 10 s for the first event; decoding the answer takes 2.5 s. */
     @ParameterizedTest
     @CsvSource({
         "0, 0, 15000, true",
@@ -78,8 +79,8 @@
         "0, 3000, 2600, true"
     })
     void letsAPromptWaitWhileItsCallerStaysAndItsAnswerCanBeWritten(
-            double predictedMillis, long waitedMillis, long leftMillis, boolean allowed) {
-        assertThat(PromptAdmission.mayWait(predictedMillis, waitedMillis, 10_000, leftMillis))
+            double predictedMillis, long waitedMillis, long remainingMillis, boolean allowed) {
+        assertThat(PromptAdmission.mayWait(predictedMillis, waitedMillis, 10_000, remainingMillis))
                 .isEqualTo(allowed);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/LoadPlay.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/LoadSimulation.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,8 +19,8 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Plays a load in virtual time: prompts are placed on engines by what one board tells of all of them. */
-final class LoadPlay implements PlayedEngine.Listener {
+/** Plays a load in virtual time: prompts are placed on engines by what one loadTable tells of all of them. */
+final class LoadSimulation implements SimulatedEngine.Listener {
 
     private static final ProcessId ROUTER = new ProcessId(new HostId("router"), 1);
 
@@ -36,18 +36,18 @@
     private static final double PLANNED_SHARE = 0.9;
 
     private static final double EVENT_SPREAD = 0.6;
-    private static final double MOST_EVENTS_TIMES = 2.5;
+    private static final double MAX_EVENTS_RATIO = 2.5;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final PlayedLoad load;
-    private final Placing placing;
+    private final SimulatedLoad load;
+    private final PlacementPolicy placing;
     private final Random random;
-    private final EngineLoadTable board = new EngineLoadTable();
-    private final Map<UpstreamId, PlayedEngine> engines = new HashMap<>();
+    private final EngineLoadTable loadTable = new EngineLoadTable();
+    private final Map<UpstreamId, SimulatedEngine> engines = new HashMap<>();
     private final List<EngineCandidate> candidates = new ArrayList<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Map<Long, PlayedRequest> placed = new HashMap<>();
-    private final List<PlayedRequest> requests = new ArrayList<>();
+    private final Map<Long, SimulatedRequest> placed = new HashMap<>();
+    private final List<SimulatedRequest> requests = new ArrayList<>();
     private double nowMillis;
     private long numbers;
 
@@ -67,22 +67,22 @@
         }
     }
 
-    private LoadPlay(PlayedLoad load, Placing.Maker maker, long seed) {
+    private LoadSimulation(SimulatedLoad load, PlacementPolicy.Factory factory, long seed) {
         this.load = load;
-        this.placing = maker.of(load.profile());
+        this.placing = factory.of(load.profile());
         this.random = new Random(seed);
         for (int i = 0; i < load.engines(); i++) {
             UpstreamId id = new UpstreamId(String.format("engine-%04d", i));
-            double pace = 1 + (load.slowest() - 1) * random.nextDouble();
-            engines.put(id, new PlayedEngine(id, load.profile(), pace, this));
-            board.load(id).profile(load.profile());
-            candidates.add(new EngineCandidate(id, board.load(id), 0, true));
+            double slowdown = 1 + (load.maxSlowdown() - 1) * random.nextDouble();
+            engines.put(id, new SimulatedEngine(id, load.profile(), slowdown, this));
+            loadTable.load(id).profile(load.profile());
+            candidates.add(new EngineCandidate(id, loadTable.load(id), 0, true));
         }
     }
 
     /** Plays a load once and returns its requests. */
-    static List<PlayedRequest> play(PlayedLoad load, Placing.Maker maker, long seed) {
-        LoadPlay play = new LoadPlay(load, maker, seed);
+    static List<SimulatedRequest> play(SimulatedLoad load, PlacementPolicy.Factory factory, long seed) {
+        LoadSimulation play = new LoadSimulation(load, factory, seed);
         for (int kind = 0; kind < load.kinds().size(); kind++) {
             play.arriveNext(kind, 0);
         }
@@ -90,27 +90,27 @@
         return play.requests;
     }
 
-    /** Plays a load with some seeds and returns the share of the worth owed that was earned. */
-    static double shareEarned(PlayedLoad load, Placing.Maker maker, int seeds) {
-        double owed = 0;
-        double earned = 0;
+    /** Plays a load with some seeds and returns the share of the value valueOnTime that was earnedValue. */
+    static double earnedShare(SimulatedLoad load, PlacementPolicy.Factory factory, int seeds) {
+        double valueOnTime = 0;
+        double earnedValue = 0;
         for (int seed = 1; seed <= seeds; seed++) {
-            for (PlayedRequest request : play(load, maker, seed)) {
-                owed += request.owed();
-                earned += request.earned();
+            for (SimulatedRequest request : play(load, factory, seed)) {
+                valueOnTime += request.valueOnTime();
+                earnedValue += request.earnedValue();
             }
         }
-        return earned / owed;
+        return earnedValue / valueOnTime;
     }
 
     private void run() {
         double next = nextMillis();
         while (next <= load.lengthMillis() + END_MILLIS) {
             nowMillis = Math.max(nowMillis, next);
-            for (PlayedEngine engine : engines.values()) {
+            for (SimulatedEngine engine : engines.values()) {
                 engine.advance(nowMillis);
             }
-            engines.values().forEach(PlayedEngine::act);
+            engines.values().forEach(SimulatedEngine::act);
             while (!timers.isEmpty() && timers.peek().atMillis() <= nowMillis) {
                 timers.poll().action().run();
             }
@@ -121,7 +121,7 @@
     private double nextMillis() {
         double next =
                 timers.isEmpty() ? Double.POSITIVE_INFINITY : timers.peek().atMillis();
-        for (PlayedEngine engine : engines.values()) {
+        for (SimulatedEngine engine : engines.values()) {
             next = Math.min(next, engine.nextMillis());
         }
         return next;
@@ -133,11 +133,11 @@
 
     /** Draws the next arrival of a kind; candidates at the greatest rate are thinned out to the rate of the moment. */
     private void arriveNext(int kind, double fromMillis) {
-        double most = load.mostPerSecond(kind);
+        double most = load.maxPerSecond(kind);
         double at = fromMillis;
         do {
             at -= Math.log(1 - random.nextDouble()) / most * MILLIS_PER_SECOND;
-        } while (random.nextDouble() * most > load.perSecond(kind, at));
+        } while (random.nextDouble() * most > load.ratePerSecond(kind, at));
         double arrivalMillis = at;
         if (arrivalMillis < load.lengthMillis()) {
             at(arrivalMillis, () -> {
@@ -147,13 +147,13 @@
         }
     }
 
-    private void arrive(PlayedKind kind) {
-        long tokens = (long) drawn(kind.meanTokens(), kind.spread(), kind.mostTokens());
-        int events = (int) drawn(kind.meanEvents(), EVENT_SPREAD, kind.meanEvents() * MOST_EVENTS_TIMES);
-        PlayedRequest request = new PlayedRequest(kind, tokens, events, nowMillis);
+    private void arrive(PromptClass kind) {
+        long tokens = (long) drawn(kind.meanTokens(), kind.spread(), kind.maxTokens());
+        int events = (int) drawn(kind.meanEvents(), EVENT_SPREAD, kind.meanEvents() * MAX_EVENTS_RATIO);
+        SimulatedRequest request = new SimulatedRequest(kind, tokens, events, nowMillis);
         requests.add(request);
         at(nowMillis + kind.patienceMillis(), () -> {
-            if (!request.begun()) {
+            if (!request.hasStarted()) {
                 leave(request);
             }
         });
@@ -167,17 +167,17 @@
         return Math.max(1, Math.min(most, mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2)));
     }
 
-    private void leave(PlayedRequest request) {
-        if (!request.over()) {
+    private void leave(SimulatedRequest request) {
+        if (!request.isOver()) {
             request.leave();
             end(request);
         }
     }
 
-    private void end(PlayedRequest request) {
+    private void end(SimulatedRequest request) {
         EnginePlacement placement = request.placement();
         if (placement != null) {
-            board.remove(placement.id(), (long) nowMillis);
+            loadTable.remove(placement.id(), (long) nowMillis);
             placement.parts().forEach(part -> engines.get(part.engine())
                     .drop(placement.id().number()));
             placed.remove(placement.id().number());
@@ -185,17 +185,17 @@
     }
 
     /** Places a prompt, lets it wait, or refuses it, by the rules that routers follow. */
-    private void decide(PlayedRequest request) {
-        if (request.over()) {
+    private void decide(SimulatedRequest request) {
+        if (request.isOver()) {
             return;
         }
-        PlayedKind kind = request.kind();
+        PromptClass kind = request.kind();
         long waited = (long) (nowMillis - request.arrivedMillis());
         long left = (long) (kind.limitMillis() - waited);
         long patience = (long) (kind.patienceMillis() * PLANNED_SHARE);
         PromptRequest prompt = new PromptRequest(
                 request.tokens(),
-                (long) (kind.meanEvents() * load.profile().strideSteps()),
+                (long) (kind.meanEvents() * load.profile().decodeStepsPerBatchStep()),
                 Math.max(1, (long) kind.targetMillis() - waited),
                 (long) kind.tokenGapTargetMillis(),
                 Math.min(left, patience - waited),
@@ -214,7 +214,7 @@
         }
     }
 
-    private void place(PlayedRequest request, PromptRequest prompt, PlacementChoice choice) {
+    private void place(SimulatedRequest request, PromptRequest prompt, PlacementChoice choice) {
         long number = ++numbers;
         EnginePlacement placement = new EnginePlacement(
                 new PlacementId(ROUTER, number),
@@ -224,9 +224,9 @@
                 prompt.tokenGapTargetMillis());
         request.place(placement);
         placed.put(number, request);
-        board.place(placement, (long) nowMillis, (long) request.kind().limitMillis());
+        loadTable.place(placement, (long) nowMillis, (long) request.kind().limitMillis());
         at(nowMillis + SEND_MILLIS, () -> {
-            if (!request.over()) {
+            if (!request.isOver()) {
                 for (EnginePart part : placement.parts()) {
                     engines.get(part.engine())
                             .take(number, placement.isShared(), part == placement.lead(), part.prefillMillis());
@@ -237,23 +237,23 @@
 
     @Override
     public void read(UpstreamId engine, long number) {
-        PlayedRequest request = placed.get(number);
-        if (request == null || !request.readBy(engine)) {
+        SimulatedRequest request = placed.get(number);
+        if (request == null || !request.prefillDoneBy(engine)) {
             return;
         }
-        board.startDecoding(request.placement().id(), (long) nowMillis);
+        loadTable.startDecoding(request.placement().id(), (long) nowMillis);
         engines.get(request.placement().lead().engine()).write(number, request.tokens());
         event(number);
     }
 
     @Override
     public void event(long number) {
-        PlayedRequest request = placed.get(number);
+        SimulatedRequest request = placed.get(number);
         if (request == null) {
             return;
         }
         request.event(nowMillis);
-        if (request.served()) {
+        if (request.isComplete()) {
             end(request);
         }
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/Placing.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementPolicy.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.Comparator;
 import java.util.List;
@@ -7,14 +7,14 @@
 import org.apricotstack.core.engine.EnginePart;
 import org.apricotstack.core.engine.EnginePlacer;
 import org.apricotstack.core.engine.EngineProfile;
-import org.apricotstack.core.engine.PlacementCaution;
 import org.apricotstack.core.engine.PlacementChoice;
+import org.apricotstack.core.engine.PlacementMargins;
 import org.apricotstack.core.engine.PromptAdmission;
 import org.apricotstack.core.engine.PromptRequest;
 
 /** A way of placing prompts that is compared with others. */
 @FunctionalInterface
-interface Placing {
+interface PlacementPolicy {
 
     /** Chooses engines for a prompt. */
     PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis);
@@ -26,22 +26,22 @@
 
     /** Makes a way for some engines. */
     @FunctionalInterface
-    interface Maker {
+    interface Factory {
 
         /** Makes it. */
-        Placing of(EngineProfile profile);
+        PlacementPolicy of(EngineProfile profile);
     }
 
     /** Returns the way that routers use. */
-    static Maker today() {
+    static Factory current() {
         return profile -> new EnginePlacer(profile)::choose;
     }
 
-    /** Returns the way that routers use, with other figures of caution, and that refuses nothing that can be placed. */
-    static Maker withoutRefusals(PlacementCaution caution) {
+    /** Returns the way that routers use, with other figures of margins, and that refuses nothing that can be placed. */
+    static Factory withoutRefusals(PlacementMargins margins) {
         return profile -> {
-            EnginePlacer placer = new EnginePlacer(profile, caution);
-            return new Placing() {
+            EnginePlacer placer = new EnginePlacer(profile, margins);
+            return new PlacementPolicy() {
                 @Override
                 public PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis) {
                     return placer.choose(request, candidates, nowMillis);
@@ -56,8 +56,8 @@
     }
 
     /** Returns the way that gives each prompt whole to the engine that answers fewest. */
-    static Maker leastInFlight() {
-        return profile -> (request, candidates, nowMillis) -> alone(
+    static Factory leastInFlight() {
+        return profile -> (request, candidates, nowMillis) -> onOneEngine(
                 profile,
                 request,
                 candidates.stream()
@@ -67,18 +67,19 @@
     }
 
     /** Returns the way that gives prompts whole to the engines in turn. */
-    static Maker inTurn() {
+    static Factory roundRobin() {
         return profile -> {
             int[] turn = new int[1];
             return (request, candidates, nowMillis) ->
-                    alone(profile, request, candidates.get(turn[0]++ % candidates.size()));
+                    onOneEngine(profile, request, candidates.get(turn[0]++ % candidates.size()));
         };
     }
 
-    private static PlacementChoice alone(EngineProfile profile, PromptRequest request, EngineCandidate candidate) {
-        double readMillis = profile.prefillMillis(request.promptTokens(), 1);
+    private static PlacementChoice onOneEngine(
+            EngineProfile profile, PromptRequest request, EngineCandidate candidate) {
+        double prefillMillis = profile.prefillMillis(request.promptTokens(), 1);
         EnginePart whole =
-                new EnginePart(candidate.engine(), readMillis, request.promptTokens() + request.answerTokens());
-        return new PlacementChoice(List.of(whole), readMillis, 0, 0, 0, false);
+                new EnginePart(candidate.engine(), prefillMillis, request.promptTokens() + request.answerTokens());
+        return new PlacementChoice(List.of(whole), prefillMillis, 0, 0, 0, false);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/PlayedEngine.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedEngine.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,24 +14,24 @@
  * An engine in virtual time.
  *
  * <p>Without writers it reads at once, parts of shared readings first and the newest of them ahead. With writers it
- * works in passes: all reading that waits when a pass begins is done in it, and the writers get an event at its end.
+ * works in batching: all prefill that waits when a pass begins is done in it, and the writers get an event at its end.
  */
-final class PlayedEngine {
+final class SimulatedEngine {
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
     private static final double ROUNDING_MILLIS = 1e-9;
 
     private final UpstreamId id;
     private final EngineProfile profile;
-    private final double pace;
+    private final double slowdown;
     private final Listener listener;
     private final List<Part> waiting = new ArrayList<>();
-    private final List<Part> inPass = new ArrayList<>();
+    private final List<Part> inStep = new ArrayList<>();
     private final List<Part> queued = new ArrayList<>();
     private final Map<Long, Long> contextByWriter = new LinkedHashMap<>();
     private final Set<Long> leads = new HashSet<>();
     private double nowMillis;
-    private double passEndMillis = NEVER;
+    private double stepEndMillis = NEVER;
 
     /** Takes what happens at an engine. */
     interface Listener {
@@ -48,27 +48,27 @@
         private final long request;
         private final boolean shared;
         private final boolean lead;
-        private double leftMillis;
+        private double remainingMillis;
 
-        private Part(long request, boolean shared, boolean lead, double leftMillis) {
+        private Part(long request, boolean shared, boolean lead, double remainingMillis) {
             this.request = request;
             this.shared = shared;
             this.lead = lead;
-            this.leftMillis = leftMillis;
+            this.remainingMillis = remainingMillis;
         }
     }
 
     /** Creates an idle engine that is slower than its profile says by a factor. */
-    PlayedEngine(UpstreamId id, EngineProfile profile, double pace, Listener listener) {
+    SimulatedEngine(UpstreamId id, EngineProfile profile, double slowdown, Listener listener) {
         this.id = id;
         this.profile = profile;
-        this.pace = pace;
+        this.slowdown = slowdown;
         this.listener = listener;
     }
 
     /** Takes a part of a prompt; one that it is to answer waits until it has a slot. */
-    void take(long request, boolean shared, boolean lead, double readMillis) {
-        Part part = new Part(request, shared, lead, readMillis * pace);
+    void take(long request, boolean shared, boolean lead, double prefillMillis) {
+        Part part = new Part(request, shared, lead, prefillMillis * slowdown);
         if (lead && leads.size() >= profile.slots()) {
             queued.add(part);
         } else {
@@ -86,20 +86,20 @@
     /** Lets a request write, as its prompt was read. */
     void write(long request, long contextTokens) {
         contextByWriter.put(request, contextTokens);
-        if (passEndMillis == NEVER) {
-            beginPass();
+        if (stepEndMillis == NEVER) {
+            startStep();
         }
     }
 
     /** Drops a request. */
     void drop(long request) {
         waiting.removeIf(part -> part.request == request);
-        inPass.removeIf(part -> part.request == request);
+        inStep.removeIf(part -> part.request == request);
         queued.removeIf(part -> part.request == request);
         if (contextByWriter.remove(request) != null && contextByWriter.isEmpty()) {
-            waiting.addAll(0, inPass);
-            inPass.clear();
-            passEndMillis = NEVER;
+            waiting.addAll(0, inStep);
+            inStep.clear();
+            stepEndMillis = NEVER;
         }
         if (leads.remove(request) && !queued.isEmpty()) {
             admit(queued.remove(0));
@@ -109,15 +109,15 @@
     /** Returns when something happens next. */
     double nextMillis() {
         if (!contextByWriter.isEmpty()) {
-            return passEndMillis;
+            return stepEndMillis;
         }
-        return waiting.isEmpty() ? NEVER : nowMillis + waiting.get(0).leftMillis;
+        return waiting.isEmpty() ? NEVER : nowMillis + waiting.get(0).remainingMillis;
     }
 
     /** Lets the time pass, at most until something happens. */
     void advance(double toMillis) {
         if (contextByWriter.isEmpty() && !waiting.isEmpty()) {
-            waiting.get(0).leftMillis -= toMillis - nowMillis;
+            waiting.get(0).remainingMillis -= toMillis - nowMillis;
         }
         nowMillis = toMillis;
     }
@@ -130,27 +130,28 @@
         if (contextByWriter.isEmpty()) {
             listener.read(id, waiting.remove(0).request);
         } else {
-            endPass();
+            endStep();
         }
     }
 
-    private void endPass() {
-        List<Part> read = List.copyOf(inPass);
-        inPass.clear();
-        passEndMillis = NEVER;
+    private void endStep() {
+        List<Part> read = List.copyOf(inStep);
+        inStep.clear();
+        stepEndMillis = NEVER;
         List.copyOf(contextByWriter.keySet()).forEach(listener::event);
         read.forEach(part -> listener.read(id, part.request));
-        if (!contextByWriter.isEmpty() && passEndMillis == NEVER) {
-            beginPass();
+        if (!contextByWriter.isEmpty() && stepEndMillis == NEVER) {
+            startStep();
         }
     }
 
-    private void beginPass() {
-        inPass.addAll(waiting);
+    private void startStep() {
+        inStep.addAll(waiting);
         waiting.clear();
         long context =
                 contextByWriter.values().stream().mapToLong(Long::longValue).sum();
-        double reading = inPass.stream().mapToDouble(part -> part.leftMillis).sum();
-        passEndMillis = nowMillis + profile.passMillis(contextByWriter.size(), context) * pace + reading;
+        double prefill =
+                inStep.stream().mapToDouble(part -> part.remainingMillis).sum();
+        stepEndMillis = nowMillis + profile.batchStepMillis(contextByWriter.size(), context) * slowdown + prefill;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/PlayedEngineTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedEngineTest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,15 +9,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PlayedEngineTest {
+class SimulatedEngineTest {
 
     /** Passes of 50 ms. */
     private static final EngineProfile PROFILE = new EngineProfile(2, 300_000, 50, 1, 0, 0, 200, 0, 2_048, 800);
 
     private final List<String> seen = new ArrayList<>();
     private double nowMillis;
-    private final PlayedEngine engine =
-            new PlayedEngine(new UpstreamId("engine"), PROFILE, 1, new PlayedEngine.Listener() {
+    private final SimulatedEngine engine =
+            new SimulatedEngine(new UpstreamId("engine"), PROFILE, 1, new SimulatedEngine.Listener() {
                 @Override
                 public void read(UpstreamId engine, long request) {
                     seen.add("read " + request + " at " + Math.round(nowMillis));
@@ -29,7 +29,7 @@
                 }
             });
 
-    private void playUntil(double millis) {
+    private void advanceTo(double millis) {
         while (engine.nextMillis() <= millis) {
             nowMillis = engine.nextMillis();
             engine.advance(nowMillis);
@@ -43,9 +43,9 @@
     void readsTheNewestSharedPartFirstAndWholePromptsInTurn() {
         engine.take(1, false, true, 100);
         engine.take(2, true, false, 100);
-        playUntil(50);
+        advanceTo(50);
         engine.take(3, true, false, 100);
-        playUntil(1_000);
+        advanceTo(1_000);
 
         assertThat(seen).containsExactly("read 3 at 150", "read 2 at 200", "read 1 at 300");
     }
@@ -53,12 +53,12 @@
     @Test
     void readsAllThatWaitsInOnePassWhileItWrites() {
         engine.take(1, false, true, 100);
-        playUntil(100);
+        advanceTo(100);
         engine.write(1, 1_000);
-        playUntil(120);
+        advanceTo(120);
         engine.take(2, true, false, 300);
         engine.take(3, true, false, 200);
-        playUntil(750);
+        advanceTo(750);
 
         assertThat(seen)
                 .containsExactly(
@@ -75,9 +75,9 @@
         engine.take(1, false, true, 100);
         engine.take(2, false, true, 100);
         engine.take(3, false, true, 100);
-        playUntil(150);
+        advanceTo(150);
         engine.drop(1);
-        playUntil(1_000);
+        advanceTo(1_000);
 
         assertThat(seen).containsExactly("read 1 at 100", "read 2 at 200", "read 3 at 300");
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/PlayedLoads.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedLoads.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,27 +7,27 @@
 import org.apricotstack.core.engine.EngineProfile;
 
 /** Loads to play. */
-final class PlayedLoads {
+final class SimulatedLoads {
 
     private static final int STRIDE_STEPS = 52;
     private static final int CHUNK_TOKENS = 2_048;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private PlayedLoads() {}
+    private SimulatedLoads() {}
 
     /**
      * Returns a fleet whose phases of many short prompts and of many long ones take turns. In the second about 30 of
-     * the engines are needed for reading alone.
+     * the engines are needed for prefill onOneEngine.
      */
-    static PlayedLoad swinging(int engines) {
-        return new PlayedLoad(
+    static SimulatedLoad alternatingPhases(int engines) {
+        return new SimulatedLoad(
                 new EngineProfile(8, 382_500, STRIDE_STEPS, 0.925, 0.005, 0.0025, 256, 0.092, CHUNK_TOKENS, 1_700),
                 engines,
                 1.05,
                 List.of(
-                        new PlayedKind(48, 5_000, 0.9, 24_000, 33, 309, 200, 10_300, 1.4),
-                        new PlayedKind(7.7, 45_000, 0.5, 110_000, 20, 1_514, 500, 10_100, 2.6),
-                        new PlayedKind(1.3, 300_000, 0.55, 1_000_000, 16, 4_024, 800, 15_100, 30)),
+                        new PromptClass(48, 5_000, 0.9, 24_000, 33, 309, 200, 10_300, 1.4),
+                        new PromptClass(7.7, 45_000, 0.5, 110_000, 20, 1_514, 500, 10_100, 2.6),
+                        new PromptClass(1.3, 300_000, 0.55, 1_000_000, 16, 4_024, 800, 15_100, 30)),
                 List.of(List.of(2.4, 0.5, 0.05), List.of(0.31, 1.3, 2.8)),
                 9_500,
                 38_000);
@@ -37,7 +37,7 @@
      * Draws a deployment: engines of half to double speed with 4 to 32 slots, three kinds of prompts of 1,000 to a
      * million tokens, and two phases. Reading the means takes 15 to 60% of the engines.
      */
-    static PlayedLoad drawn(long seed) {
+    static SimulatedLoad drawn(long seed) {
         Random random = new Random(seed);
         double speed = between(random, 0.5, 2);
         EngineProfile profile = new EngineProfile(
@@ -56,15 +56,15 @@
             between(random, 1_000, 10_000), between(random, 20_000, 80_000), between(random, 120_000, 300_000)
         };
         double[] shares = {between(random, 0.05, 0.15), between(random, 0.03, 0.15), between(random, 0.07, 0.3)};
-        List<PlayedKind> kinds = new ArrayList<>();
+        List<PromptClass> kinds = new ArrayList<>();
         List<Double> one = new ArrayList<>();
         List<Double> other = new ArrayList<>();
         for (int i = 0; i < lengths.length; i++) {
-            double readMillis = profile.prefillMillis((long) lengths[i], 1);
-            double target = i == 0 ? between(random, 250, 500) : between(random, 0.4, 1.6) * readMillis + 600;
+            double prefillMillis = profile.prefillMillis((long) lengths[i], 1);
+            double target = i == 0 ? between(random, 250, 500) : between(random, 0.4, 1.6) * prefillMillis + 600;
             double pause = between(random, 150, 300) * (1 + 1.5 * i);
-            kinds.add(new PlayedKind(
-                    engines * shares[i] * MILLIS_PER_SECOND / readMillis,
+            kinds.add(new PromptClass(
+                    engines * shares[i] * MILLIS_PER_SECOND / prefillMillis,
                     lengths[i],
                     between(random, 0.3, 0.9),
                     1_000_000,
@@ -77,7 +77,7 @@
             one.add(1 + swing * (i == 0 ? 1 : -1));
             other.add(2 - one.get(i));
         }
-        return new PlayedLoad(profile, engines, between(random, 1, 1.1), kinds, List.of(one, other), 5_000, 10_000);
+        return new SimulatedLoad(profile, engines, between(random, 1, 1.1), kinds, List.of(one, other), 5_000, 10_000);
     }
 
     private static double between(Random random, double least, double most) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/PlayedRequest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedRequest.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -7,21 +7,21 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /** One request of a played load, from its arrival to its end. */
-final class PlayedRequest {
+final class SimulatedRequest {
 
-    /** Share of its worth that an answer keeps if it is late. */
+    /** Share of its value that an answer keeps if it is late. */
     private static final double LATE_SHARE = 0.25;
 
-    /** Share of the worth that does not depend on the length, and most that a length multiplies it by. */
+    /** Share of the value that does not depend on the length, and most that a length multiplies it by. */
     private static final double FIXED_SHARE = 0.3;
 
-    private static final double MOST_TIMES = 4;
+    private static final double MAX_LENGTH_FACTOR = 4;
 
-    private final PlayedKind kind;
+    private final PromptClass kind;
     private final long tokens;
     private final int events;
     private final double arrivedMillis;
-    private final Set<UpstreamId> unread = new HashSet<>();
+    private final Set<UpstreamId> pendingEngines = new HashSet<>();
     private EnginePlacement placement;
     private int eventsSeen;
     private double firstMillis;
@@ -29,14 +29,14 @@
     private double longestPauseMillis;
     private boolean left;
 
-    PlayedRequest(PlayedKind kind, long tokens, int events, double arrivedMillis) {
+    SimulatedRequest(PromptClass kind, long tokens, int events, double arrivedMillis) {
         this.kind = kind;
         this.tokens = tokens;
         this.events = events;
         this.arrivedMillis = arrivedMillis;
     }
 
-    PlayedKind kind() {
+    PromptClass kind() {
         return kind;
     }
 
@@ -56,12 +56,12 @@
     /** Notes where it is placed. */
     void place(EnginePlacement chosen) {
         placement = chosen;
-        chosen.parts().forEach(part -> unread.add(part.engine()));
+        chosen.parts().forEach(part -> pendingEngines.add(part.engine()));
     }
 
     /** Notes that an engine read its part; tells whether it was the last one. */
-    boolean readBy(UpstreamId engine) {
-        return unread.remove(engine) && unread.isEmpty();
+    boolean prefillDoneBy(UpstreamId engine) {
+        return pendingEngines.remove(engine) && pendingEngines.isEmpty();
     }
 
     /** Notes an event of the answer. */
@@ -75,12 +75,12 @@
     }
 
     /** Tells whether events came. */
-    boolean begun() {
+    boolean hasStarted() {
         return eventsSeen > 0;
     }
 
     /** Tells whether the answer is whole. */
-    boolean served() {
+    boolean isComplete() {
         return eventsSeen >= events;
     }
 
@@ -90,23 +90,23 @@
     }
 
     /** Tells whether nothing more happens. */
-    boolean over() {
-        return left || served();
+    boolean isOver() {
+        return left || isComplete();
     }
 
-    /** Returns what an answer on time would be worth. */
-    double owed() {
+    /** Returns what an answer on time would be value. */
+    double valueOnTime() {
         double size = tokens / kind.meanTokens();
-        return kind.worth() * Math.min(MOST_TIMES, FIXED_SHARE + (1 - FIXED_SHARE) * size);
+        return kind.value() * Math.min(MAX_LENGTH_FACTOR, FIXED_SHARE + (1 - FIXED_SHARE) * size);
     }
 
-    /** Returns what the answer was worth. */
-    double earned() {
-        if (!served()) {
+    /** Returns what the answer was value. */
+    double earnedValue() {
+        if (!isComplete()) {
             return 0;
         }
         boolean onTime =
                 firstMillis - arrivedMillis <= kind.targetMillis() && longestPauseMillis <= kind.tokenGapTargetMillis();
-        return onTime ? owed() : LATE_SHARE * owed();
+        return onTime ? valueOnTime() : LATE_SHARE * valueOnTime();
     }
 }
