--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineCandidate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineCandidate.java
@@ -6,10 +6,10 @@
  * An engine that may run a request.
  *
  * @param engine the engine
- * @param load what it is believed to be doing
+ * @param load its estimated load
  * @param failureProbability probability that a request sent to it fails, 0 to 1
- * @param reservable whether memory may be reserved at it
- * @param mayHelp whether it may read parts of prompts that other engines answer
+ * @param reservable whether memory may be reserved on it
+ * @param mayHelp whether it may prefill parts of prompts for other lead engines
  */
 public record EngineCandidate(
         UpstreamId engine, EngineLoad load, double failureProbability, boolean reservable, boolean mayHelp) {
@@ -18,9 +18,9 @@
      * Creates an engine that may help others.
      *
      * @param engine the engine
-     * @param load what it is believed to be doing
+     * @param load its estimated load
      * @param failureProbability probability that a request sent to it fails, 0 to 1
-     * @param reservable whether memory may be reserved at it
+     * @param reservable whether memory may be reserved on it
      */
     public EngineCandidate(UpstreamId engine, EngineLoad load, double failureProbability, boolean reservable) {
         this(engine, load, failureProbability, reservable, true);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoad.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoad.java
@@ -4,24 +4,25 @@
 import java.util.Map;
 
 /**
- * What one engine is believed to be doing: who workMillis, who writes, and how much memory is taken.
+ * The estimated load of one engine: its pending prefill, its decoding requests and its memory in use.
  *
- * <p>While something is written the engine works in batching: all prefill that waits when a pass begins is done in it,
- * and its results and the writers' next events come together at its end. While nothing is written there are no
- * batching.
- * Then a part of a shared prefill goes ahead of everything that came before it, other parts included, and a prompt that
- * it workMillis alone waits for all others. News that a prompt was read mark the end of a pass.
+ * <p>While any request decodes, the engine works in batch steps. All prefill that is waiting when a step begins is
+ * done in that step; the prefill results and the next event of each decoding request become available together at its
+ * end. While no request decodes there are no batch steps. A part of a shared prefill then runs before all earlier
+ * work, including earlier shared parts, and a prompt that the engine prefills alone waits for all others. A report
+ * that a prefill has completed marks the end of a batch step.
  */
 public final class EngineLoad {
 
-    /** Lateness of a first event that is within the prediction's error, in milliseconds. */
+    /** Delay of a first event that is within the error of the prediction, in milliseconds. */
     private static final double OVERDUE_MILLIS = 150;
 
-    /** Reading that takes an engine away from short prompts, in milliseconds. */
+    /** Prefill after which an engine counts as fully busy for short prompts, in milliseconds. */
     private static final double BUSY_PREFILL_MILLIS = 400;
 
     /**
-     * Passes that are followed one by one after a time without news; then the engine counts as between two batching.
+     * Batch steps that are replayed one by one after a time without updates; beyond that the engine counts as between
+     * steps.
      */
     private static final int MAX_STEPS = 64;
 
@@ -63,21 +64,21 @@
     }
 
     /**
-     * Returns for how long the engine has owed a first event that was predicted.
+     * Returns how long the most delayed first event has been overdue; 0 within the error of the prediction.
      *
-     * <p>It works on something that is not known here, or is stuck: whatever it is, new requests wait behind it too.
+     * <p>The engine is then stuck or does work that is not known here. New requests wait behind either.
      */
     private double overdueMillis(long nowMillis) {
         double overdue = prefills.firstEventOverdueMillis(lastFirstEventMillis, nowMillis);
         return overdue > OVERDUE_MILLIS ? overdue : 0;
     }
 
-    /** Returns for how long the engine is held by what no living router placed, as far as it is known. */
+    /** Returns how long the engine will be busy with work that no live router placed, as far as it is known. */
     private double unattributedWorkMillis(long nowMillis) {
         return Math.max(overdueMillis(nowMillis), orphanedEndMillis - nowMillis);
     }
 
-    /** Lets the time pass. */
+    /** Advances the model to a point in time. */
     private void advance(long nowMillis) {
         double elapsed = Math.max(0, nowMillis - advancedMillis);
         advancedMillis = Math.max(advancedMillis, nowMillis);
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Ends the pass that runs and begins the next one with all that waits. */
+    /** Ends the current batch step and starts the next one with all waiting prefill. */
     private void startStep(double atMillis) {
         if (atMillis < stepEndMillis) {
             prefills.endStepEarly(atMillis - stepStartMillis);
@@ -101,21 +102,20 @@
         stepEndMillis = atMillis + Math.max(1, batchStepMillis()) + prefills.advanceStep();
     }
 
-    /** Notes that the prompt of a placement was read, which also ends a pass. */
+    /** Records that the prefill of a placement has completed, which also ends a batch step. */
     void startDecoding(PlacementId id, long nowMillis) {
         advance(nowMillis);
-        PrefillPart read = prefills.removePart(id);
-        if (read != null && read.lead()) {
+        PrefillPart pendingPart = prefills.removePart(id);
+        if (pendingPart != null && pendingPart.lead()) {
             lastFirstEventMillis = nowMillis;
-            decoding.put(id, read.placement());
+            decoding.put(id, pendingPart.placement());
             startStep(nowMillis);
         }
     }
 
     /**
-     * Takes a placement off whose router is gone. The engine may not notice and goes on prefill, so what is left to
-     * read
-     * stays until it would have been read.
+     * Removes a placement of a router that is dead. The engine may not notice this and may continue the prefill, so
+     * the remaining prefill still counts until it would be done.
      */
     void orphan(PlacementId id, long nowMillis) {
         advance(nowMillis);
@@ -127,12 +127,13 @@
         orphanedEndMillis = Math.max(orphanedEndMillis, nowMillis) + remaining;
     }
 
-    /** Takes a placement off. */
+    /** Removes a placement. */
     void remove(PlacementId id, long nowMillis) {
         advance(nowMillis);
-        PrefillPart read = prefills.removePart(id);
-        EnginePlacement written = decoding.remove(id);
-        if (read != null && read.lead() && read.placement().isShort() || written != null && written.isShort()) {
+        PrefillPart pendingPart = prefills.removePart(id);
+        EnginePlacement decodingPlacement = decoding.remove(id);
+        if (pendingPart != null && pendingPart.lead() && pendingPart.placement().isShort()
+                || decodingPlacement != null && decodingPlacement.isShort()) {
             shortLeadCount--;
         }
         Long memory = memoryByPlacement.remove(id);
@@ -140,7 +141,7 @@
     }
 
     /**
-     * Notes how slow the engine is.
+     * Sets how slow the engine is.
      *
      * @param factor 1 for the published figures, more for a slow engine
      */
@@ -158,11 +159,11 @@
     }
 
     /**
-     * Predicts when a new part would have been read.
+     * Predicts when the prefill of a new part would be done.
      *
-     * @param prefillMillis prefill of the part at usual pace, in milliseconds
+     * @param prefillMillis prefill of the part at the published speed, in milliseconds
      * @param isShared whether other engines share the prefill
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return milliseconds from now
      */
     public double prefillDoneMillis(double prefillMillis, boolean isShared, long nowMillis) {
@@ -180,9 +181,9 @@
     }
 
     /**
-     * Predicts when its writers get their next events.
+     * Predicts when the decoding requests get their next events.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return milliseconds from now
      */
     public double nextEventMillis(long nowMillis) {
@@ -191,10 +192,11 @@
     }
 
     /**
-     * Predicts the pause of the writers in the pass that a new part would be read in.
+     * Predicts the token gap of the decoding requests in the batch step that includes a new part.
      *
-     * @param prefillMillis prefill of the part at usual pace, in milliseconds; 0 for the pass without a new part
-     * @param nowMillis the time
+     * @param prefillMillis prefill of the part at the published speed, in milliseconds; 0 for a step without a new
+     *     part
+     * @param nowMillis the current time
      * @return milliseconds
      */
     public double tokenGapMillis(double prefillMillis, long nowMillis) {
@@ -203,12 +205,12 @@
     }
 
     /**
-     * Predicts the first pause of a new prompt's own answer. A shared part goes ahead of what an idle engine
-     * workMillis;
-     * with the answer's first event the engine begins to work in batching, and workMillis all the rest in the next one.
+     * Predicts the first token gap of a new prompt's own answer. A shared part runs before the pending prefill of an
+     * engine that decodes nothing. With the first event of the answer the engine starts to work in batch steps, and
+     * the next step includes all of the remaining prefill.
      *
      * @param isShared whether other engines share the prefill of the new prompt
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return milliseconds
      */
     double ownTokenGapMillis(boolean isShared, long nowMillis) {
@@ -217,16 +219,16 @@
     }
 
     /**
-     * Returns how many requests it runs as the engine that answers.
+     * Returns how many requests the engine runs as the lead engine, which decodes the answer.
      *
-     * @return requests that read or write
+     * @return requests in prefill or decode
      */
     public int leadCount() {
         return prefills.leadCount() + decoding.size();
     }
 
     /**
-     * Returns how many of them have short prompts.
+     * Returns how many of the lead requests have short prompts.
      *
      * @return requests
      */
@@ -235,10 +237,11 @@
     }
 
     /**
-     * Estimates how much of the engine is in use.
+     * Estimates the utilization of the engine.
      *
-     * @param nowMillis the time
-     * @return 0 if it is idle, 1 if its slots are taken or it workMillis for longer than short prompts can wait
+     * @param nowMillis the current time
+     * @return 0 if it is idle, 1 if all slots are taken or its pending prefill takes longer than short prompts can
+     *     wait
      */
     public double utilization(long nowMillis) {
         advance(nowMillis);
@@ -248,7 +251,7 @@
     }
 
     /**
-     * Returns for how many requests of other engines it workMillis.
+     * Returns how many parts the engine prefills for requests of other lead engines.
      *
      * @return parts
      */
@@ -257,7 +260,7 @@
     }
 
     /**
-     * Returns the memory that placements take.
+     * Returns the memory that placements use.
      *
      * @return tokens
      */
@@ -265,7 +268,7 @@
         return memoryTokens;
     }
 
-    /** Predicts how long a pass takes in which nothing is read; 0 if nothing is written. */
+    /** Predicts the duration of a batch step without prefill; 0 if no request decodes. */
     private double batchStepMillis() {
         if (profile == null) {
             return 0;
@@ -278,10 +281,10 @@
     }
 
     /**
-     * Adds up what the decoding requests lose if their next pause has a given length.
+     * Adds up the value that the decoding requests lose if their next token gap has a given length.
      *
-     * @param tokenGapMillis the pause, in milliseconds
-     * @param spread spread of the prediction's error in relation to the target
+     * @param tokenGapMillis the token gap, in milliseconds
+     * @param spread spread of the prediction error relative to the target
      * @return value lost, in the units of {@link PromptValue}
      */
     public double tokenGapLoss(double tokenGapMillis, double spread) {
@@ -293,7 +296,7 @@
         return loss;
     }
 
-    /** Predicts when the part of a placement will have been read, in milliseconds from now; 0 if it was. */
+    /** Predicts when the prefill of a placement will be done here, in milliseconds from now; 0 if it is done. */
     double remainingPrefillMillis(PlacementId id, long nowMillis) {
         double[] longest = new double[1];
         forEachPrefill(nowMillis, (part, prefillDoneMillis, batching) -> {
@@ -304,7 +307,7 @@
         return longest[0];
     }
 
-    /** Predicts when each part will have been read, those of the pass that runs too. */
+    /** Predicts when the prefill of each part will be done, including the parts in the current batch step. */
     void forEachPrefill(long nowMillis, PrefillVisitor visitor) {
         advance(nowMillis);
         boolean batching = !decoding.isEmpty();
@@ -318,16 +321,16 @@
         }
     }
 
-    /** Takes the parts that an engine workMillis. */
+    /** Visits the parts that an engine has to prefill. */
     @FunctionalInterface
     interface PrefillVisitor {
 
         /**
-         * Takes one part.
+         * Visits one part.
          *
          * @param part the part
-         * @param prefillDoneMillis when it will have been read, from now
-         * @param batching whether the engine works in batching now
+         * @param prefillDoneMillis time until its prefill is done, in milliseconds
+         * @param batching whether the engine works in batch steps now
          */
         void visit(PrefillPart part, double prefillDoneMillis, boolean batching);
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
@@ -11,10 +11,11 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * What this router believes that all engines are doing: its own placements and those that peers told of.
+ * The load of all engines as this router knows it: its own placements and those that other routers reported.
  *
- * <p>News of a placement that ends may be lost with the peer that would have sent it. Placements of a process that is
- * removed are taken off together ({@link #removeProcess}), and any is taken off after its time limit ({@link #expire}).
+ * <p>The report that a placement has ended may be lost if the router that would send it dies. All placements of a dead
+ * process are removed together ({@link #removeProcess}), and each placement expires after its time limit ({@link
+ * #expire}).
  */
 public final class EngineLoadTable {
 
@@ -22,7 +23,7 @@
     private final Map<PlacementId, TrackedPlacement> placements = new HashMap<>();
 
     /**
-     * A placement and the time at which it is expired in any case.
+     * A placement and the time at which it expires.
      *
      * @param placement the placement
      * @param expiryMillis the time
@@ -33,18 +34,18 @@
      * Returns the load of one engine.
      *
      * @param engine the engine
-     * @return its load, which changes with the loadTable
+     * @return its load; a live object that later calls update
      */
     public EngineLoad load(UpstreamId engine) {
         return loads.computeIfAbsent(engine, id -> new EngineLoad());
     }
 
     /**
-     * Adds a placement; one that is known already is left as it is.
+     * Adds a placement; does nothing if it is already known.
      *
      * @param placement the placement
-     * @param nowMillis the time
-     * @param limitMillis longest time that the request may still take, in milliseconds
+     * @param nowMillis the current time
+     * @param limitMillis maximum time that the request may still take, in milliseconds
      * @return whether it was not known
      */
     public boolean place(EnginePlacement placement, long nowMillis, long limitMillis) {
@@ -58,10 +59,10 @@
     }
 
     /**
-     * Notes that the prompt of a placement was read and its answer is being written.
+     * Records that the prefill of a placement has completed and its answer is being decoded.
      *
      * @param id the placement
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void startDecoding(PlacementId id, long nowMillis) {
         TrackedPlacement placed = placements.get(id);
@@ -71,11 +72,11 @@
     }
 
     /**
-     * Predicts when all engines of a placement will have read their parts.
+     * Predicts when all engines of a placement will have completed their prefill.
      *
      * @param id the placement
-     * @param nowMillis the time
-     * @return milliseconds from now; 0 if they have read them, or the placement is not known
+     * @param nowMillis the current time
+     * @return milliseconds from now; 0 if the prefill is done or the placement is not known
      */
     public double remainingPrefillMillis(PlacementId id, long nowMillis) {
         TrackedPlacement placed = placements.get(id);
@@ -89,10 +90,10 @@
     }
 
     /**
-     * Takes a placement off.
+     * Removes a placement.
      *
      * @param id the placement
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void remove(PlacementId id, long nowMillis) {
         TrackedPlacement placed = placements.remove(id);
@@ -102,10 +103,10 @@
     }
 
     /**
-     * Takes off all placements of a router process that is removed.
+     * Removes all placements of a router process that is dead.
      *
      * @param process the process
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void removeProcess(ProcessId process, long nowMillis) {
         List<PlacementId> removed = new ArrayList<>();
@@ -121,11 +122,11 @@
     }
 
     /**
-     * Takes off placements of a router process that it no longer has, as news of their ends were lost.
+     * Removes placements that a router process no longer has, because the reports that they ended were lost.
      *
      * @param process the process
-     * @param open all that it still has
-     * @param nowMillis the time
+     * @param open all placements that the process still has
+     * @param nowMillis the current time
      */
     public void retainInFlight(ProcessId process, Set<PlacementId> open, long nowMillis) {
         List<PlacementId> ended = placements.keySet().stream()
@@ -135,9 +136,9 @@
     }
 
     /**
-     * Takes off placements whose time limit has passed.
+     * Removes placements whose time limit has passed.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void expire(long nowMillis) {
         List<PlacementId> expired = new ArrayList<>();
@@ -150,9 +151,9 @@
     }
 
     /**
-     * Forgets engines that are no longer listed and run nothing.
+     * Removes engines that are no longer listed and run nothing.
      *
-     * @param listed tells which starts of engines are listed
+     * @param listed tells whether an incarnation of an engine is listed
      */
     public void retain(Predicate<UpstreamId> listed) {
         loads.entrySet()
@@ -161,7 +162,7 @@
     }
 
     /**
-     * Returns how many placements are known.
+     * Returns the number of known placements.
      *
      * @return placements
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePart.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePart.java
@@ -3,10 +3,10 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * What one engine does for a placed request.
+ * The part of one engine in a placement.
  *
  * @param engine the engine
- * @param prefillMillis prefill expected of it, in milliseconds at usual pace
- * @param memoryTokens memory that the request takes there, in tokens
+ * @param prefillMillis expected prefill on it at the published speed, in milliseconds
+ * @param memoryTokens memory that the request uses on it, in tokens
  */
 public record EnginePart(UpstreamId engine, double prefillMillis, long memoryTokens) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePlacement.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePlacement.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A decision that some engines run a request.
+ * A decision that certain engines run a request.
  *
- * @param id names the decision
- * @param parts what each engine does; the first writes the answer, the others help to read
+ * @param id identifies the decision
+ * @param parts the part of each engine; the first one decodes the answer, the others help with the prefill
  * @param contextTokens tokens of the prompt
- * @param targetLatencyMillis time to the first event that is on time, from the decision, in milliseconds
- * @param tokenGapTargetMillis longest pause in its stream that is on time, in milliseconds
+ * @param targetLatencyMillis target for the time to the first event, measured from the decision, in milliseconds
+ * @param tokenGapTargetMillis target for the longest token gap in the stream, in milliseconds
  */
 public record EnginePlacement(
         PlacementId id,
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Returns the part of the engine that writes the answer.
+     * Returns the part of the lead engine, which decodes the answer.
      *
      * @return the first part
      */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Tells whether several engines read its prompt.
+     * Tells whether several engines share the prefill.
      *
      * @return whether it has helpers
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Tells whether its prompt is short.
+     * Tells whether the prompt is short.
      *
      * @return whether it has at most {@link PromptValue#SHORT_TOKENS}
      */
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Values its answer.
+     * Returns the value of the answer.
      *
-     * @return the value on time, in the units of {@link PromptValue}
+     * @return the value if it is on time, in the units of {@link PromptValue}
      */
     public double value() {
         return PromptValue.of(contextTokens);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePlacer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EnginePlacer.java
@@ -5,56 +5,64 @@
 import java.util.List;
 
 /**
- * Chooses the engines for a prompt so that the expected loss of value over all requests is least.
+ * Chooses the engines for a prompt so that the expected loss of value over all requests is lowest.
  *
- * <p>Load that it answers: short prompts that write with pauses of a fraction of a second, beside long ones whose
- * prefill takes seconds. A pass lasts as long as everything that is read in it, so a long prefill next to short writers
- * makes all of them late. For each number of parts the loss of each engine's writers and readers and the lateness of
- * the new request are predicted; the cheapest combination wins.
+ * <p>The load is a mix of short prompts, whose answers need a token every fraction of a second, and long prompts,
+ * whose prefill takes seconds. A batch step lasts as long as all the prefill in it, so a long prefill on an engine
+ * that decodes short answers delays all of them. For each number of parts, the placer predicts the loss of the
+ * requests already on each engine and the latency of the new one, and takes the cheapest combination.
  *
- * <p>Short prompts keep to the first engines of an order that all routers share, as many as their number needs now, and
- * long ones use the others. The shortPoolSize follows the load at once and needs no agreement: every router counts
- * the same
- * short requests.
+ * <p>Short prompts use the first engines of an order that all routers share, as many as the number of short requests
+ * needs now; long prompts use the others. The size of this pool follows the load at once and needs no agreement
+ * between routers, because every router counts the same short requests.
  */
 public final class EnginePlacer {
 
-    /** Numbers of engines that a prefill is shared by; 17 is the first engine and the most helpers that it takes. */
+    /**
+     * Numbers of engines that may share a prefill; 17 is the lead engine and the largest number of helpers per
+     * request.
+     */
     private static final int[] PART_COUNTS = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17};
 
-    /** Parts shorter than this are not made, in milliseconds: a step of a pass is about 1 ms, its overhead counts. */
+    /**
+     * Minimum prefill of a part, in milliseconds: a decode step takes about 1 ms, so smaller parts have too much
+     * overhead.
+     */
     private static final double MIN_PART_MILLIS = 25;
 
-    /** Short requests that one engine runs well at once: its pass leaves room for prefill within their pause. */
+    /**
+     * Short requests that one engine runs well at once: its batch step has time for prefill within their token gap
+     * target.
+     */
     private static final double SHORT_REQUESTS_PER_ENGINE = 7.5;
 
-    /** Engines kept for short prompts overSlots what they need now, for those of the next moment. */
+    /** Engines added to the pool for short prompts beyond the current need, for prompts about to arrive. */
     private static final double SPARE_ENGINES = 1.2;
 
     /**
-     * Cost of a place otherPool the shortPoolSize, in the units of {@link PromptValue}: a third of a late short
+     * Cost of an engine outside the prompt's own pool, in the units of {@link PromptValue}: a third of a late short
      * answer.
      */
     private static final double OTHER_POOL_COST = 0.35;
 
-    /** Cost of the position end of the own side, so that each side fills from its end. */
+    /** Cost of the far end of the prompt's own pool, so that each pool fills from its own end. */
     private static final double POSITION_COST = 0.06;
 
-    /** Cost of each helper as a share of the request's value, so that helpers are not used where they gain nothing. */
+    /** Cost of each helper as a share of the request's value, so that helpers that gain nothing are not used. */
     private static final double HELPER_COST_SHARE = 0.002;
 
-    /** Share of an engine's memory that is planned with; the rest covers what peers placed a moment ago. */
+    /** Share of an engine's memory that placements may use; the rest covers what other routers placed a moment ago. */
     private static final double USABLE_MEMORY_SHARE = 0.96;
 
-    /** Mean time that a request holds a slot, in milliseconds, for predicting when a full engine has room. */
+    /** Mean time that a request holds a slot, in milliseconds; predicts when a full engine has a free slot. */
     private static final double MEAN_SLOT_MILLIS = 1_700;
 
-    /** Share of the engines in use at which their time has its full price. */
+    /** Mean utilization of the engines from which engine time has its full price. */
     private static final double FULL_PRICE_UTILIZATION = 0.95;
 
     /**
-     * Value of a second of an engine when all are in use: what short prompts, which take 0.2 s of an engine each with
-     * their share of its batching, would earn in it.
+     * Value of a second of engine time when all engines are in use: what short prompts would earn in that second. Each
+     * of them takes 0.2 s of an engine, including its share of the batch steps.
      */
     private static final double VALUE_PER_SECOND = 6;
 
@@ -64,7 +72,7 @@
     private final PlacementMargins margins;
 
     /**
-     * Creates a placer.
+     * Creates a placer with the standard margins.
      *
      * @param profile figures of the engines
      */
@@ -73,10 +81,10 @@
     }
 
     /**
-     * Creates a placer for an experiment.
+     * Creates a placer with other margins, for experiments.
      *
      * @param profile figures of the engines
-     * @param margins how much is left in hand
+     * @param margins allowances for prediction errors and scarce engines
      */
     public EnginePlacer(EngineProfile profile, PlacementMargins margins) {
         this.profile = profile;
@@ -84,15 +92,15 @@
     }
 
     /**
-     * An engine's figures for one size of part.
+     * The figures of one engine for a part of a given size.
      *
      * @param candidate the engine
-     * @param leadDoneMillis when it will have read the part as the engine that answers, from now
-     * @param helperDoneMillis when it will have read the part as a helper, from now
-     * @param tokenGapMillis pause that its writers will have
-     * @param loss value that its writers lose, and the cost of its side of the shortPoolSize
-     * @param ownTokenGapMillis pause that the new answer will have there
-     * @param rank all that speaks against it
+     * @param leadDoneMillis time until it has finished the part if it is the lead engine, in milliseconds
+     * @param helperDoneMillis time until it has finished the part if it is a helper, in milliseconds
+     * @param tokenGapMillis token gap that its decoding requests will have, in milliseconds
+     * @param loss value that its decoding requests lose, plus the cost of its position in its pool
+     * @param ownTokenGapMillis token gap that the new answer will have on it, in milliseconds
+     * @param rank total expected cost; the lowest is the best
      */
     private record Score(
             EngineCandidate candidate,
@@ -108,8 +116,8 @@
      *
      * @param request the prompt
      * @param candidates engines that may be used, in the order that all routers share
-     * @param nowMillis the time
-     * @return the choice; without parts if no engine can give a first event before the caller leaves
+     * @param nowMillis the current time
+     * @return the choice; without parts if no engine can return a first event before the caller disconnects
      */
     public PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis) {
         PlacementChoice best = none();
@@ -131,7 +139,7 @@
         return best;
     }
 
-    /** Returns what a millisecond of an engine is worth to others now. */
+    /** Returns the value of a millisecond of engine time to other requests at the current utilization. */
     private double pricePerMilli(List<EngineCandidate> candidates, long nowMillis) {
         double busy = 0;
         for (EngineCandidate candidate : candidates) {
@@ -142,12 +150,12 @@
         return Math.max(0, Math.min(1, scarcity)) * VALUE_PER_SECOND / MILLIS_PER_SECOND;
     }
 
-    /** The choice of no engine. */
+    /** Returns the choice that has no engine. */
     private static PlacementChoice none() {
         return new PlacementChoice(List.of(), 0, 0, Double.MAX_VALUE, 0, false);
     }
 
-    /** Returns how many engines, from the first on, are kept for short prompts now. */
+    /** Returns how many engines, counted from the first one, are reserved for short prompts now. */
     static int shortPoolSize(List<EngineCandidate> candidates) {
         int shortRequests = 0;
         for (EngineCandidate candidate : candidates) {
@@ -157,7 +165,7 @@
         return Math.max(1, Math.min(candidates.size() - 1, needed));
     }
 
-    /** Scores all engines for a part, the most suitable first. */
+    /** Scores all engines for a part; the best one comes first. */
     private List<Score> score(
             PromptRequest request,
             int partCount,
@@ -196,7 +204,7 @@
         return scores;
     }
 
-    /** Returns the cost of an engine's place in the common order. */
+    /** Returns the cost of an engine's position in the shared order. */
     private static double poolCost(boolean isShort, int place, int shortPoolSize, int engines) {
         boolean inShortPool = place < shortPoolSize;
         double otherPool = inShortPool == isShort ? 0 : OTHER_POOL_COST;
@@ -204,13 +212,13 @@
         return otherPool + POSITION_COST * (isShort ? position : 1 - position);
     }
 
-    /** Predicts how long a request waits until an engine has a slot for it. */
+    /** Predicts how long a request waits until an engine has a free slot for it. */
     private double slotWaitMillis(EngineLoad load) {
         int overSlots = load.leadCount() - profile.slots() + 1;
         return overSlots <= 0 ? 0 : overSlots * MEAN_SLOT_MILLIS / profile.slots();
     }
 
-    /** Makes the choice for one number of parts. */
+    /** Chooses the engines for one number of parts. */
     private PlacementChoice chooseWith(
             PromptRequest request, List<Score> scores, int partCount, double partMillis, PendingPrefills pending) {
         long tokens = request.promptTokens() + request.answerTokens();
@@ -245,20 +253,20 @@
         return rate(request, chosen, parts, splitsMemory, pending.loss(engines, partMillis, partCount > 1));
     }
 
-    /** Estimates what the new answer loses by its pause if an engine writes it. */
+    /** Estimates the value that the new answer loses by its token gap if an engine decodes it. */
     private double ownTokenGapLoss(PromptRequest request, Score score) {
         return PromptValue.of(request.promptTokens())
                 * PromptValue.tokenGapLoss(
                         score.ownTokenGapMillis(), request.tokenGapTargetMillis(), margins.tokenGapSpread());
     }
 
-    /** Returns the memory of an engine that is free to plan with. */
+    /** Returns the free memory of an engine that placements may use. */
     private long freeTokens(Score score) {
         return (long) (profile.memoryTokens() * USABLE_MEMORY_SHARE)
                 - score.candidate().load().memoryTokens();
     }
 
-    /** Makes parts of which the first holds all memory. */
+    /** Makes parts of which the first holds all the memory. */
     private static List<EnginePart> unreserved(List<Score> chosen, long tokens, double partMillis) {
         List<EnginePart> parts = new ArrayList<>(chosen.size());
         for (Score score : chosen) {
@@ -267,7 +275,7 @@
         return parts;
     }
 
-    /** Makes parts that share the memory; empty if they have too little together. */
+    /** Makes parts that share the memory; the list is empty if the engines have too little memory together. */
     private List<EnginePart> reserved(List<Score> chosen, long tokens, double partMillis) {
         long missing = tokens;
         List<EnginePart> parts = new ArrayList<>(chosen.size());
@@ -284,7 +292,7 @@
         return missing > 0 ? List.of() : parts;
     }
 
-    /** Predicts what a choice costs. */
+    /** Predicts the cost of a choice. */
     private PlacementChoice rate(
             PromptRequest request,
             List<Score> chosen,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineProfile.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineProfile.java
@@ -1,17 +1,21 @@
 package org.apricotstack.core.engine;
 
 /**
- * Published figures of the engines of one service.
+ * Published performance figures of the engines of one service.
+ *
+ * <p>A batch step consists of several decode steps, at whose end each decoding request gets one event.
  *
  * @param slots requests that one engine runs at once
  * @param memoryTokens tokens that its memory holds
- * @param decodeStepsPerBatchStep steps of a pass in which some request is decoding
- * @param decodeStepMillis duration of a step without work, in milliseconds
- * @param perSequenceMillis what each decoding request adds to a step, in milliseconds
- * @param contextMillisPerThousand what a thousand tokens of decoding requests' contexts add to a step, in milliseconds
- * @param prefillTokensPerMilli prompt tokens read in a millisecond
- * @param attentionMillisPerMillionPairs time for a million pairs of a prompt token and an earlier one, in milliseconds
- * @param chunkTokens prompt tokens read in one step, at most
+ * @param decodeStepsPerBatchStep decode steps in a batch step
+ * @param decodeStepMillis duration of a decode step without work, in milliseconds
+ * @param perSequenceMillis time that each decoding request adds to a decode step, in milliseconds
+ * @param contextMillisPerThousand time that a thousand context tokens of decoding requests add to a decode step, in
+ *     milliseconds
+ * @param prefillTokensPerMilli prompt tokens prefilled in a millisecond
+ * @param attentionMillisPerMillionPairs prefill time for a million pairs of a prompt token and an earlier one, in
+ *     milliseconds
+ * @param chunkTokens maximum number of prompt tokens prefilled in one decode step
  * @param meanAnswerTokens mean length of an answer, in tokens
  */
 public record EngineProfile(
@@ -30,11 +34,11 @@
     private static final double PAIRS_PER_MILLION = 1e6;
 
     /**
-     * Predicts how long prefill a prompt takes, if nothing else is read.
+     * Predicts the prefill time of a prompt if the engine prefills nothing else.
      *
      * @param promptTokens tokens of the prompt
      * @param parts engines that share the prefill evenly; 1 or more
-     * @return milliseconds that each of them reads
+     * @return milliseconds of prefill on each of them
      */
     public double prefillMillis(long promptTokens, int parts) {
         double pairs = (double) promptTokens * promptTokens / 2;
@@ -46,11 +50,11 @@
     }
 
     /**
-     * Predicts how long a pass without prefill takes.
+     * Predicts the duration of a batch step without prefill.
      *
      * @param decodingRequests requests that are decoding
-     * @param contextTokens tokens of their contexts together
-     * @return milliseconds; 0 if nothing is written
+     * @param contextTokens total tokens of their contexts
+     * @return milliseconds; 0 if no request is decoding
      */
     public double batchStepMillis(int decodingRequests, long contextTokens) {
         if (decodingRequests == 0) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
@@ -6,11 +6,10 @@
 import java.util.Map;
 
 /**
- * The placements of this router that have not ended, as a router that did not hear of them has to learn them.
+ * The placements of this router that have not ended, for routers that missed the reports of them.
  *
- * <p>A router that has just started, or was cut off for a while, has an empty loadTable and would send prompts to
- * engines
- * that are full. It is told of the open placements when a stream of news to it opens.
+ * <p>A router that has just started, or was disconnected for a while, has an empty load table and would send prompts
+ * to full engines. It receives the in-flight placements when a gossip stream to it opens.
  */
 public final class InFlightPlacements {
 
@@ -19,23 +18,23 @@
     /**
      * A placement that has not ended.
      *
-     * @param placement the placement; its parts hold what is remaining to read
-     * @param limitMillis longest time that the request may still take, in milliseconds
-     * @param decoding whether its answer is being written
+     * @param placement the placement; its parts hold the remaining prefill
+     * @param limitMillis maximum time that the request may still take, in milliseconds
+     * @param decoding whether its answer is being decoded
      */
     public record Entry(EnginePlacement placement, long limitMillis, boolean decoding) {}
 
     /**
-     * A placement as it was made.
+     * A placement with the figures of the time at which it was made.
      *
      * @param placement the placement
      * @param atMillis when it was made
-     * @param limitMillis longest time that the request might take then, in milliseconds
-     * @param decoding whether its answer is being written
+     * @param limitMillis maximum time that the request might take then, in milliseconds
+     * @param decoding whether its answer is being decoded
      */
     private record TrackedPlacement(EnginePlacement placement, long atMillis, long limitMillis, boolean decoding) {
 
-        /** Returns what is remaining of it. */
+        /** Returns the placement with its remaining prefill and time. */
         private Entry remainingAt(long nowMillis) {
             long elapsed = nowMillis - atMillis;
             List<EnginePart> remaining = placement.parts().stream()
@@ -56,15 +55,15 @@
      * Adds a placement.
      *
      * @param placement the placement
-     * @param limitMillis longest time that the request may take, in milliseconds
-     * @param nowMillis the time
+     * @param limitMillis maximum time that the request may take, in milliseconds
+     * @param nowMillis the current time
      */
     public void place(EnginePlacement placement, long limitMillis, long nowMillis) {
         placed.put(placement.id(), new TrackedPlacement(placement, nowMillis, limitMillis, false));
     }
 
     /**
-     * Notes that the answer to a placement is being written.
+     * Records that the answer of a placement is being decoded.
      *
      * @param id the placement
      */
@@ -74,7 +73,7 @@
     }
 
     /**
-     * Takes a placement off.
+     * Removes a placement.
      *
      * @param id the placement
      */
@@ -83,9 +82,9 @@
     }
 
     /**
-     * Lists the placements that have not ended and whose time is not over.
+     * Lists the placements that have neither ended nor passed their time limit.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return the placements in the order in which they were made
      */
     public List<Entry> at(long nowMillis) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PendingPrefills.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PendingPrefills.java
@@ -8,12 +8,12 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * All prompts that some engines read now, and what they lose by a new one.
+ * All prompts in prefill on a set of engines, and the value that they lose by a new prompt.
  *
- * <p>A prompt that many engines share has been read when the last of them is done. So what delays it is looked at once
- * and not for each part: a part that is done early anyway may wait for nothing, and a new prompt that delays all parts
- * delays the prompt once. Added up over its parts, a prompt that 14 engines read would look 14 times as precious, and
- * new ones would go to a single engine each rather than beside it.
+ * <p>The prefill of a shared prompt is done when the last of its engines is done. So the delay of a prompt is counted
+ * once and not for each of its parts: a part that is done before the others may be delayed at no cost, and a new
+ * prompt that delays all parts delays the prompt once. If the delays of the parts were added up, a prompt shared by 14
+ * engines would look 14 times as valuable, and new prompts would be given to single engines instead of sharing these.
  */
 final class PendingPrefills {
 
@@ -22,26 +22,26 @@
     private final long nowMillis;
 
     /**
-     * A part that an engine reads.
+     * A part in prefill on an engine.
      *
      * @param prefill the part
-     * @param prefillDoneMillis when it will have been read, from now
-     * @param batching whether its engine works in batching
+     * @param prefillDoneMillis time until its prefill is done, in milliseconds
+     * @param batching whether its engine works in batch steps
      */
     private record Part(PrefillPart prefill, double prefillDoneMillis, boolean batching) {
 
-        /** Returns the placement that it belongs to. */
+        /** Returns the placement that the part belongs to. */
         private PlacementId id() {
             return prefill.placement().id();
         }
 
-        /** Tells whether a new part on its engine delays it. */
+        /** Tells whether a new part on the same engine delays this one. */
         private boolean isDelayed(boolean isShared) {
             return prefill.waitingMillis() > 0 && prefill.delayedBy(isShared, batching);
         }
     }
 
-    /** Looks at all engines. */
+    /** Collects the pending prefill of all engines. */
     PendingPrefills(List<EngineCandidate> candidates, long nowMillis) {
         this.nowMillis = nowMillis;
         for (EngineCandidate candidate : candidates) {
@@ -55,24 +55,24 @@
     }
 
     /**
-     * Adds up what open prompts lose if one engine reads a new part.
+     * Adds up the value that pending prompts lose if one engine gets a new part.
      *
      * @param candidate the engine
-     * @param prefillMillis prefill of the part at usual pace, in milliseconds
-     * @param isShared whether other engines share the new prefill, so that it goes ahead of what waits
-     * @return value lost beyond what is lost already, in the units of {@link PromptValue}
+     * @param prefillMillis prefill of the part at the published speed, in milliseconds
+     * @param isShared whether other engines share the new prefill, so that it runs before waiting parts
+     * @return additional loss, in the units of {@link PromptValue}
      */
     double loss(EngineCandidate candidate, double prefillMillis, boolean isShared) {
         return loss(List.of(candidate), prefillMillis, isShared);
     }
 
     /**
-     * Adds up what open prompts lose if some engines read a part of a new one each.
+     * Adds up the value that pending prompts lose if several engines each get a part of a new prompt.
      *
      * @param engines the engines
-     * @param prefillMillis prefill of each part at usual pace, in milliseconds
-     * @param isShared whether the new prefill is shared, so that it goes ahead of what waits
-     * @return value lost beyond what is lost already, in the units of {@link PromptValue}
+     * @param prefillMillis prefill of each part at the published speed, in milliseconds
+     * @param isShared whether the new prefill is shared, so that it runs before waiting parts
+     * @return additional loss, in the units of {@link PromptValue}
      */
     double loss(List<EngineCandidate> engines, double prefillMillis, boolean isShared) {
         Map<PlacementId, Part> delayed = new HashMap<>();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PerRouterEngineOrder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PerRouterEngineOrder.java
@@ -9,11 +9,12 @@
 import org.apricotstack.core.id.ProcessId;
 
 /**
- * An order of the engines that belongs to one router process.
+ * An order of the engines that is specific to one router process.
  *
- * <p>All routers fill engines in one common order, which works as each knows what the others placed. Routers that start
- * together know nothing of each other for a while, and all would begin with the same engines, which reject a part of
- * the prompts and answer the others late. With orders of their own they spread over all engines.
+ * <p>All routers fill engines in one shared order, which works because each of them knows what the others placed.
+ * Routers that start at the same time do not know this for a while. They would all begin with the same engines, which
+ * would reject some of the prompts and answer the others late. With an order for each process they spread over all
+ * engines.
  */
 public final class PerRouterEngineOrder {
 
@@ -22,7 +23,7 @@
     private PerRouterEngineOrder() {}
 
     /**
-     * Orders engines as one router process does that does not know what the others place.
+     * Orders engines for a router process that does not know the placements of other routers.
      *
      * @param process the router process
      * @param candidates the engines
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementChoice.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementChoice.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * The engines chosen for a prompt, with the figures that decided.
+ * The engines chosen for a prompt, with the figures behind the choice.
  *
- * @param parts what each engine does; the first writes the answer; empty if no engine can run the prompt in time
+ * @param parts the part of each engine; the first one decodes the answer; empty if no engine can run the prompt in
+ *     time
  * @param firstTokenMillis predicted time to the first event, in milliseconds
- * @param tokenGapMillis predicted longest pause that the placement makes on its engines, in milliseconds
- * @param cost expected loss of value by it, of the prompt's own answer too
- * @param costToOthers the part of the cost that others bear
- * @param reservesMemory whether memory must be reserved at the helpers, as the first engine cannot hold the prompt
+ * @param tokenGapMillis predicted longest token gap that the placement causes on its engines, in milliseconds
+ * @param cost expected total loss of value, including that of the prompt's own answer
+ * @param costToOthers the part of the cost that other requests bear
+ * @param reservesMemory whether memory must be reserved on the helpers, as the lead engine cannot hold the prompt
  */
 public record PlacementChoice(
         List<EnginePart> parts,
@@ -26,9 +27,9 @@
     }
 
     /**
-     * Returns the same choice at a higher cost.
+     * Returns the same choice at a higher cost to others.
      *
-     * @param price what is added
+     * @param price the additional cost
      * @return the choice
      */
     PlacementChoice withAddedCost(double price) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PlacementId.java
@@ -3,10 +3,10 @@
 import org.apricotstack.core.id.ProcessId;
 
 /**
- * Names one placement of a request on engines; unique over all routers.
+ * Identifies one placement of a request on engines; unique across all routers.
  *
- * @param process the router process that decided it
- * @param number counted up by that process
+ * @param process the router process that made the placement
+ * @param number sequence number of that process
  */
 public record PlacementId(ProcessId process, long number) {
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PrefillPart.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PrefillPart.java
@@ -1,9 +1,11 @@
 package org.apricotstack.core.engine;
 
-/** A part of a prompt that an engine reads. */
+/** A part of a prompt in the prefill queue of an engine. */
 final class PrefillPart {
 
-    /** Left of a part that counts as read, as the prediction of a pass is off by as much, in milliseconds. */
+    /**
+     * Remaining prefill of a part that counts as done, in milliseconds: the prediction of a batch step has this error.
+     */
     private static final double COMPLETION_TOLERANCE_MILLIS = 20;
 
     private final EnginePlacement placement;
@@ -14,13 +16,13 @@
     private boolean inStep;
 
     /**
-     * Creates a part of which nothing was read.
+     * Creates a part whose prefill has not begun.
      *
-     * @param placement what it belongs to
-     * @param lead whether the engine also answers
+     * @param placement the placement that it belongs to
+     * @param lead whether the engine also decodes the answer
      * @param placedMillis when it was placed
-     * @param remainingMillis how long prefill it takes
-     * @param dueMillis when it should have been read
+     * @param remainingMillis its prefill time
+     * @param dueMillis when its prefill should be done
      */
     PrefillPart(EnginePlacement placement, boolean lead, long placedMillis, double remainingMillis, double dueMillis) {
         this.placement = placement;
@@ -30,44 +32,44 @@
         this.dueMillis = dueMillis;
     }
 
-    /** Returns what it belongs to. */
+    /** Returns the placement that it belongs to. */
     EnginePlacement placement() {
         return placement;
     }
 
-    /** Tells whether the engine also answers. */
+    /** Tells whether the engine also decodes the answer. */
     boolean lead() {
         return lead;
     }
 
-    /** Returns what is left to read, in milliseconds. */
+    /** Returns the remaining prefill, in milliseconds. */
     double remainingMillis() {
         return remainingMillis;
     }
 
-    /** Returns what is left and not in the pass that runs, in milliseconds. */
+    /** Returns the remaining prefill if it is not in the current batch step, in milliseconds. */
     double waitingMillis() {
         return inStep ? 0 : remainingMillis;
     }
 
-    /** Returns when it should have been read. */
+    /** Returns when its prefill should be done. */
     double dueMillis() {
         return dueMillis;
     }
 
-    /** Lets it be due later. */
+    /** Moves the due time back. */
     void postpone(double byMillis) {
         dueMillis += byMillis;
     }
 
-    /** Reads for a time; returns the rest of the time. */
+    /** Spends time on this part; returns the unused time. */
     double progress(double millis) {
         double taken = Math.min(millis, remainingMillis);
         remainingMillis -= taken;
         return millis - taken;
     }
 
-    /** Leaves the pass that it was in after it was read for a time; returns the rest of the time. */
+    /** Removes the part from a step that ended early after the given prefill time; returns the unused time. */
     double endStepEarly(double millis) {
         if (!inStep) {
             return millis;
@@ -78,7 +80,10 @@
         return rest;
     }
 
-    /** Ends the pass that it was in, or takes it into the next one; returns for how long it is read in that. */
+    /**
+     * Completes the part if it was in the step that ends, or else adds it to the next step; returns the prefill time
+     * that it adds to that step.
+     */
     double advanceStep() {
         if (inStep) {
             inStep = false;
@@ -90,12 +95,12 @@
         return 0;
     }
 
-    /** Tells whether a new part delays it. */
+    /** Tells whether a new part delays this one. */
     boolean delayedBy(boolean sharedNewPart, boolean batching) {
         return batching ? !inStep : sharedNewPart;
     }
 
-    /** Estimates what its request loses if it is read later than predicted. */
+    /** Estimates the value that the request loses if this part is done later than predicted. */
     double delayLoss(double prefillDoneMillis, double delayMillis, long nowMillis) {
         double waited = nowMillis - placedMillis;
         double target = Math.max(1, placement.targetLatencyMillis() - waited);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PrefillQueue.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PrefillQueue.java
@@ -4,9 +4,8 @@
 import java.util.List;
 
 /**
- * What an engine reads, in its order: parts of shared readings first, the newest of them ahead, then the prompts
- * that it
- * reads alone, the oldest ahead.
+ * The pending prefill of an engine in order: first the parts of shared prefills, newest first, then the prompts that
+ * the engine prefills alone, oldest first.
  */
 final class PrefillQueue {
 
@@ -21,7 +20,7 @@
         }
     }
 
-    /** Takes the part of a placement off; {@code null} if there is none. */
+    /** Removes the part of a placement; returns {@code null} if there is none. */
     PrefillPart removePart(PlacementId id) {
         for (PrefillPart part : parts) {
             if (part.placement().id().equals(id)) {
@@ -32,12 +31,12 @@
         return null;
     }
 
-    /** Returns the parts in the order in which they are read. */
+    /** Returns the parts in the order of their prefill. */
     List<PrefillPart> parts() {
         return parts;
     }
 
-    /** Returns the number of prompts that the engine will answer. */
+    /** Returns the number of prompts whose answer the engine will decode. */
     int leadCount() {
         int leads = 0;
         for (PrefillPart part : parts) {
@@ -46,12 +45,12 @@
         return leads;
     }
 
-    /** Returns the number of parts that are read for other engines. */
+    /** Returns the number of parts that the engine prefills as a helper. */
     int helperCount() {
         return parts.size() - leadCount();
     }
 
-    /** Reads for a time without batching. */
+    /** Spends time on the parts in order, on an engine that does not work in batch steps. */
     void progress(double millis) {
         double rest = millis;
         for (PrefillPart part : parts) {
@@ -60,10 +59,10 @@
     }
 
     /**
-     * Ends a pass earlier than predicted, as a first event came: what could not be read in its time is left.
+     * Ends a batch step earlier than predicted, as a first event came; prefill that did not fit in its time remains.
      *
-     * <p>Taken as read, a long part would vanish from an engine with the first event of a short prompt that was read
-     * ahead of it, and short prompts would follow to an engine that reads on.
+     * <p>If all parts of the step counted as done, a long part would disappear from the load of an engine at the first
+     * event of a short prompt that ran before it, and more short prompts would go to an engine that is still busy.
      */
     void endStepEarly(double afterMillis) {
         double rest = Math.max(0, afterMillis);
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Ends a pass and begins the next one; returns for how long is read in it. */
+    /** Ends a batch step and starts the next one; returns the prefill time in the new step. */
     double advanceStep() {
         double total = 0;
         for (PrefillPart part : parts) {
@@ -81,7 +80,7 @@
         return total;
     }
 
-    /** Returns what is left to read, in milliseconds. */
+    /** Returns the total remaining prefill, in milliseconds. */
     double remainingMillis() {
         double total = 0;
         for (PrefillPart part : parts) {
@@ -90,7 +89,7 @@
         return total;
     }
 
-    /** Returns what is read in the next pass, in milliseconds. */
+    /** Returns the prefill of the next batch step, in milliseconds. */
     double waitingMillis() {
         double total = 0;
         for (PrefillPart part : parts) {
@@ -99,7 +98,7 @@
         return total;
     }
 
-    /** Lets what waits be due later, as a new part is read before or with it. */
+    /** Moves the due times of waiting parts back, as a new part runs before or with them. */
     void postpone(boolean sharedNewPart, boolean batching, double byMillis) {
         for (PrefillPart part : parts) {
             if (part.delayedBy(sharedNewPart, batching)) {
@@ -108,7 +107,10 @@
         }
     }
 
-    /** Returns for how long the engine has overdue a first event, leaving out those due before it last gave one. */
+    /**
+     * Returns how long the most delayed first event is overdue, without those that were due before the last first
+     * event.
+     */
     double firstEventOverdueMillis(double lastFirstEventMillis, long nowMillis) {
         double overdue = 0;
         for (PrefillPart part : parts) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PromptRequest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PromptRequest.java
@@ -1,13 +1,13 @@
 package org.apricotstack.core.engine;
 
 /**
- * What placing a prompt depends on.
+ * The properties of a prompt that its placement depends on.
  *
  * @param promptTokens tokens of the prompt
- * @param answerTokens tokens of the answer, at most
- * @param targetLatencyMillis time to the first event that is on time, from now, in milliseconds
- * @param tokenGapTargetMillis longest pause between events that is on time, in milliseconds
- * @param patienceMillis time to the first event after which the caller leaves, from now, in milliseconds
+ * @param answerTokens maximum number of tokens of the answer
+ * @param targetLatencyMillis target for the time to the first event, from now, in milliseconds
+ * @param tokenGapTargetMillis target for the longest token gap, in milliseconds
+ * @param patienceMillis time until the caller disconnects if there is no first event, from now, in milliseconds
  * @param waitedMillis how long the caller has waited already, in milliseconds
  */
 public record PromptRequest(
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/PromptValue.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/PromptValue.java
@@ -1,55 +1,60 @@
 package org.apricotstack.core.engine;
 
 /**
- * Values an answer by the length of its prompt.
+ * Estimates the value of an answer from the length of its prompt.
  *
  * <p>The published configuration ranks routes but does not say what an answer is worth. Users value the answer to a
  * long prompt more, about in proportion to its length with a fixed part for the shortest; an answer that is late keeps
- * a quarter of its value, and one that the caller no longer waits for keeps none.
+ * a quarter of its value, and one whose caller has disconnected keeps none.
  */
 public final class PromptValue {
 
     /** Share of the value that is lost if an answer is late. */
     public static final double LATE_LOSS_SHARE = 0.75;
 
-    /** Prompts up to this length are short: prefill one takes less than a short writer's allowed pause. */
+    /**
+     * Prompts up to this length are short: their prefill takes less time than the token gap target of a short answer.
+     */
     public static final long SHORT_TOKENS = 24_000;
 
-    /** Value of an answer to an empty prompt; in the unit in which a short question of 5,000 tokens has about 1.3. */
+    /** Value of an answer to an empty prompt; on this scale a short question of 5,000 tokens has about 1.3. */
     private static final double BASE = 0.7;
 
     /** Prompt tokens that add 1 to the value. */
     private static final double TOKENS_PER_UNIT = 8_000;
 
-    /** Callers leave a stream after a pause of two seconds, or eight times the allowed one if that is longer. */
+    /** Callers disconnect after a token gap of two seconds, or of eight times the target if that is longer. */
     private static final double MIN_PATIENCE_MILLIS = 2_000;
 
     private static final double PATIENCE_PER_TOKEN_GAP_TARGET = 8;
 
     private static final double PATIENCE_PER_LATENCY_TARGET = 4;
 
-    /** Share counted for each whole target that a caller waits; prefers the faster of two safe choices. */
+    /**
+     * Share lost for each multiple of the target that a caller waits; prefers the faster of two choices that are both
+     * safe.
+     */
     private static final double LOSS_PER_TARGET_WAITED = 0.08;
 
     private PromptValue() {}
 
     /**
-     * Values an answer.
+     * Returns the value of an answer that is on time.
      *
      * @param promptTokens tokens of the prompt
-     * @return the value of an answer on time
+     * @return the value
      */
     public static double of(long promptTokens) {
         return BASE + promptTokens / TOKENS_PER_UNIT;
     }
 
     /**
-     * Estimates the share of an answer's value that waiting for the first event costs.
+     * Estimates the share of an answer's value that is lost by the wait for the first event.
      *
      * @param waitMillis the wait from now, in milliseconds
-     * @param targetMillis wait from now that is on time, in milliseconds
+     * @param targetMillis target for the wait from now, in milliseconds
      * @param waitedMillis how long the caller has waited already, in milliseconds
-     * @return 0 to 1, and a little more for each further target that batching
+     * @return 0 to 1, and slightly more for each further target that passes
      */
     static double waitLoss(double waitMillis, double targetMillis, double waitedMillis) {
         double totalTargetMillis = targetMillis + waitedMillis;
@@ -61,11 +66,11 @@
     }
 
     /**
-     * Estimates the share of an answer's value that a pause costs.
+     * Estimates the share of an answer's value that is lost by a token gap.
      *
-     * @param tokenGapMillis the pause, in milliseconds
-     * @param tokenGapTargetMillis longest pause that is on time, in milliseconds; 0 if any is
-     * @param spread spread of the prediction's error in relation to the target
+     * @param tokenGapMillis the token gap, in milliseconds
+     * @param tokenGapTargetMillis target for the longest token gap, in milliseconds; 0 if there is none
+     * @param spread spread of the prediction error relative to the target
      * @return 0 to 1
      */
     static double tokenGapLoss(double tokenGapMillis, double tokenGapTargetMillis, double spread) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Models what a model engine is doing, and decides which engines run a prompt.
+ * Models the load of inference engines and decides which engines run a prompt.
  *
  * <p>All classes are synchronous, read no clock, and do no input or output.
  */
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineLoadTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineLoadTest.java
@@ -17,7 +17,7 @@
     private final EngineLoad load = loadTable.load(engine(0));
 
     @Test
-    void readsPromptsThatItReadsAloneOneAfterTheOther() {
+    void prefillsUnsharedPromptsInOrderOfArrival() {
         EnginePlacement placed = placement(40_000, 0);
         loadTable.place(placed, 0, 60_000);
         assertThat(load.prefillDoneMillis(100, false, 0)).isCloseTo(300, MILLI);
@@ -27,12 +27,11 @@
     }
 
     /**
-     * Symptom: readings took seconds longer than predicted, and newer requests were read before older ones. Sequence: a
-     * shared prefill is under way, another shared prefill gets a part at the same engine. Cause: the newer part goes
-     * ahead, so the older one ends later by the whole new part.
+     * A new part of a shared prefill runs before an older one, so the older one ends later by the whole new part.
+     * Without this, prefills took seconds longer than predicted, and newer requests were done before older ones.
      */
     @Test
-    void readsANewSharedPartAheadOfAnOlderOne() {
+    void prefillsANewSharedPartBeforeAnOlderOne() {
         EnginePlacement older = placement(80_000, 0, 1);
         loadTable.place(older, 0, 60_000);
         assertThat(load.prefillDoneMillis(100, true, 100)).isCloseTo(100, MILLI);
@@ -43,12 +42,12 @@
     }
 
     /**
-     * Symptom: ten short prompts in a row were sent to an engine that answered none of them for 1.6 s. Sequence: it
-     * reads a long part, a short prompt is read ahead of that, and its first event comes. Cause: the event was taken
-     * for the end of a pass in which the long part had been read.
+     * A first event must not count as the end of a batch step that included a long part. An engine has a long part in
+     * prefill, a short prompt runs before it, and its first event arrives. When the long part then counted as done,
+     * ten short prompts in a row went to an engine that answered none of them for 1.6 s.
      */
     @Test
-    void keepsWhatIsLeftOfALongPartWhenAFirstEventComesEarly() {
+    void keepsTheRemainderOfALongPartWhenAFirstEventComesEarly() {
         loadTable.place(placement(400_000, 0, 1), 0, 60_000);
         EnginePlacement first = placement(4_000, 0, 2);
         EnginePlacement second = placement(4_000, 0, 2);
@@ -61,27 +60,27 @@
     }
 
     @Test
-    void foreseesThePauseOfAnAnswerThatBeginsBesideALongReading() {
+    void predictsTheTokenGapOfAnAnswerThatStartsBesideALongPrefill() {
         loadTable.place(placement(400_000, 0, 1), 0, 60_000);
         assertThat(load.ownTokenGapMillis(true, 100)).isCloseTo(900, MILLI);
         assertThat(load.ownTokenGapMillis(false, 100)).isCloseTo(0, MILLI);
     }
 
     @Test
-    void endsAllReadingOfAPassTogether() {
-        EnginePlacement writer = placement(4_000, 0);
-        loadTable.place(writer, 0, 60_000);
-        loadTable.startDecoding(writer.id(), 20);
-        // The pass lasts until 70 ms; both prompts are read in the next one, which takes 50 ms and their prefill.
+    void completesAllPrefillOfABatchStepTogether() {
+        EnginePlacement decoding = placement(4_000, 0);
+        loadTable.place(decoding, 0, 60_000);
+        loadTable.startDecoding(decoding.id(), 20);
+        // The step lasts until 70 ms; both prompts are in the next one, which takes 50 ms plus their prefill.
         loadTable.place(placement(20_000, 0), 30, 60_000);
         assertThat(load.prefillDoneMillis(100, false, 40)).isCloseTo(30 + 50 + 100 + 100, MILLI);
         assertThat(load.tokenGapMillis(100, 40)).isCloseTo(250, MILLI);
-        // In the pass that began at 70 ms the first is read, so a new one waits for that pass.
+        // The first prompt is in the step that began at 70 ms, so a new one waits for the end of that step.
         assertThat(load.prefillDoneMillis(100, false, 100)).isCloseTo(120 + 50 + 100, MILLI);
     }
 
     @Test
-    void countsWhatItRunsAndFreesItAgain() {
+    void tracksRequestsAndMemoryUntilTheyAreRemoved() {
         EnginePlacement lead = placement(10_000, 0, 1);
         EnginePlacement helped = placement(100_000, 1, 0);
         loadTable.place(lead, 0, 60_000);
@@ -104,11 +103,11 @@
     }
 
     /**
-     * Symptom: engines looked full for good. Sequence: a router places a request and dies, the news of its end never
-     * come. Cause: nobody else takes the placement off.
+     * A router places a request and dies, so its report of the end never arrives, and no other router removes the
+     * placement. Without expiry the engines looked full forever.
      */
     @Test
-    void takesOffWhatAGoneRouterPlaced() {
+    void removesPlacementsOfADeadRouter() {
         loadTable.place(placement(10_000, 0), 0, 60_000);
         loadTable.place(placement(10_000, 1), 0, 500);
         loadTable.expire(1_000);
@@ -119,13 +118,12 @@
     }
 
     /**
-     * Symptom: twenty short prompts at a time were put on engines that gave nothing for five seconds. Sequence: an
-     * engine
-     * reads something that no router knows of; each new prompt there waits, and still looks cheap. Cause: a first event
-     * that was predicted and did not come told nobody anything.
+     * A predicted first event that does not arrive must make the engine look busy. An engine had work that no router
+     * knew of; each new prompt waited behind it, but the engine still looked cheap. Up to twenty short prompts at a
+     * time went to engines that returned nothing for five seconds.
      */
     @Test
-    void predictsLaterWhatWaitsAtAnEngineThatOwesAFirstEvent() {
+    void predictsLongerWaitsOnAnEngineWithAnOverdueFirstEvent() {
         EnginePlacement overdue = placement(4_000, 0);
         loadTable.place(overdue, 0, 60_000);
         assertThat(load.prefillDoneMillis(10, false, 100)).isCloseTo(10, MILLI);
@@ -136,12 +134,11 @@
     }
 
     /**
-     * Symptom: an engine looked idle and was blocked for seven seconds. Sequence: a router shares a long prefill,
-     * and is
-     * killed; the engine reads on. Cause: its placement was taken off together with what was left to read.
+     * A router shares a long prefill and is killed, but the engine continues it. When the remaining prefill was
+     * removed together with the placement, the engine looked idle and was blocked for seven seconds.
      */
     @Test
-    void countsReadingWhoseRouterIsGoneUntilItWouldBeDone() {
+    void countsPrefillOfADeadRouterUntilItWouldBeDone() {
         loadTable.place(placement(800_000, 1, 0), 0, 60_000);
         loadTable.removeProcess(EngineTestData.HERE, 500);
         assertThat(load.leadCount()).isZero();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EnginePlacerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EnginePlacerTest.java
@@ -25,7 +25,7 @@
         return placer.choose(request(tokens), candidates(loadTable, ENGINES), 0);
     }
 
-    private void write(long tokens, int engine) {
+    private void decode(long tokens, int engine) {
         EnginePlacement placement = placement(tokens, engine);
         loadTable.place(placement, 0, 60_000);
         loadTable.startDecoding(placement.id(), 0);
@@ -36,42 +36,43 @@
     }
 
     @Test
-    void beginsWithTheFirstEngineForShortPromptsAndTheLastForLongOnes() {
+    void startsWithTheFirstEngineForShortPromptsAndTheLastForLongOnes() {
         assertThat(engines(choose(4_000))).containsExactly(engine(0));
         assertThat(engines(choose(60_000))).contains(engine(ENGINES - 1)).doesNotContain(engine(0));
     }
 
     /**
-     * Symptom: short streams paused for over a second in the busy part of a day. Sequence: short prompts write on some
-     * engines, a long one arrives. Cause: its prefill was put beside the writers, whose pass then lasts as long as it.
+     * A batch step lasts as long as the prefill in it. In the busy part of a day, long prompts arrived while short
+     * answers were being decoded, were placed on the same engines, and the short streams had token gaps of over a
+     * second.
      */
     @ParameterizedTest
     @ValueSource(longs = {45_000, 150_000, 280_000})
-    void keepsLongReadingAwayFromShortWriters(long tokens) {
+    void keepsLongPrefillOffEnginesThatDecodeShortAnswers(long tokens) {
         for (int i = 0; i < 12; i++) {
-            write(4_000, i % 2);
+            decode(4_000, i % 2);
         }
         assertThat(engines(choose(tokens))).isNotEmpty().doesNotContain(engine(0), engine(1));
     }
 
     @Test
-    void movesTheBorderWithTheNumberOfShortPrompts() {
+    void growsTheShortPoolWithTheNumberOfShortPrompts() {
         assertThat(EnginePlacer.shortPoolSize(candidates(loadTable, ENGINES))).isEqualTo(2);
         for (int i = 0; i < 30; i++) {
-            write(4_000, i % 4);
+            decode(4_000, i % 4);
         }
         assertThat(EnginePlacer.shortPoolSize(candidates(loadTable, ENGINES))).isEqualTo(6);
     }
 
     @Test
-    void sharesAReadingThatWouldBeLateAlone() {
+    void sharesAPrefillThatOneEngineWouldFinishLate() {
         PlacementChoice choice = choose(299_000);
         assertThat(choice.parts().size()).isGreaterThan(1);
         assertThat(choice.firstTokenMillis()).isLessThan(1_000);
     }
 
     @Test
-    void reservesMemoryForAPromptThatNoEngineHolds() {
+    void reservesMemoryForAPromptBeyondOneEnginesMemory() {
         PlacementChoice choice = choose(700_000);
         assertThat(choice.reservesMemory()).isTrue();
         assertThat(choice.parts().stream().mapToLong(EnginePart::memoryTokens).sum())
@@ -81,12 +82,11 @@
     }
 
     /**
-     * Symptom: prompts that need several engines' memory failed one after the other. Sequence: some engines leave
-     * orders
-     * unanswered. Cause: memory was reserved at them again and again.
+     * Some engines do not answer reservations. When memory was reserved on them again and again, prompts that need the
+     * memory of several engines failed one after the other.
      */
     @Test
-    void reservesNoMemoryWhereOrdersAreLost() {
+    void reservesNoMemoryOnEnginesThatAreNotReservable() {
         List<EngineCandidate> some = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(
                         candidate.engine(),
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void letsNoEngineHelpThatMayNot() {
+    void usesNoHelperThatMayNotHelp() {
         List<EngineCandidate> some = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(
                         candidate.engine(),
@@ -127,10 +127,10 @@
     }
 
     @Test
-    void findsNoEngineOnceTheCallerWouldHaveLeft() {
+    void findsNoEngineIfTheCallerWouldDisconnectFirst() {
         for (int i = 0; i < ENGINES; i++) {
             loadTable.place(placement(290_000, i), 0, 60_000);
-            write(4_000, i);
+            decode(4_000, i);
             loadTable.place(placement(290_000, i), 0, 60_000);
             loadTable.place(placement(290_000, i), 0, 60_000);
         }
@@ -138,14 +138,14 @@
     }
 
     /**
-     * Symptom: short prompts were late for seconds in the busiest phase. Sequence: all engines are busy with short
-     * prompts, a prompt of 500,000 tokens arrives and is placed. Cause: its 2.5 s of engine time had no price.
+     * All engines are busy with short prompts, and a prompt of 500,000 tokens arrives. When its 2.5 s of engine time
+     * had no price, it was placed, and short prompts were late for seconds in the busiest phase.
      */
     @Test
     void pricesEngineTimeOnlyWhileEnginesAreScarce() {
         double idle = choose(290_000).cost();
         for (int i = 0; i < ENGINES * 10; i++) {
-            write(4_000, i % ENGINES);
+            decode(4_000, i % ENGINES);
         }
         PlacementChoice busy = choose(290_000);
         assertThat(idle).isLessThan(PromptValue.of(290_000) / 4);
@@ -154,14 +154,14 @@
     }
 
     /**
-     * Symptom: prompts of 200,000 tokens took seven seconds beside engines that could have read them together in one.
-     * Sequence: one prompt is read by all engines, the next one arrives. Cause: the delay of the first was counted for
-     * each of its parts, so that prefill the second on one engine alone, and late, looked cheaper.
+     * All engines share the prefill of one prompt, and the next prompt arrives. When the delay of the first one was
+     * counted for each of its parts, it looked cheaper to place the second one on a single engine, late. Prompts of
+     * 200,000 tokens took seven seconds beside engines that could have prefilled them together in one.
      */
     @Test
-    void sharesALongPromptBesideOneThatAllEnginesRead() {
-        EnginePlacement read = placement(100_000, 0, 1, 2, 3, 4, 5, 6, 7);
-        loadTable.place(new EnginePlacement(read.id(), read.parts(), 100_000, 90, 1_000), 0, 60_000);
+    void sharesALongPromptWhileAllEnginesPrefillAnother() {
+        EnginePlacement first = placement(100_000, 0, 1, 2, 3, 4, 5, 6, 7);
+        loadTable.place(new EnginePlacement(first.id(), first.parts(), 100_000, 90, 1_000), 0, 60_000);
         PromptRequest next = new PromptRequest(290_000, 800, 300, 1_000, 10_800, 0);
         PlacementChoice choice = placer.choose(next, candidates(loadTable, ENGINES), 20);
         assertThat(choice.parts().size()).isGreaterThan(4);
@@ -169,55 +169,55 @@
     }
 
     /**
-     * Symptom: short prompts were answered at once and then paused for 1.6 s. Sequence: an engine that writes nothing
-     * reads a long part; the short prompt is shared and so read ahead of it. Cause: only the time to the first event
-     * was looked at, and with that event the engine reads all the rest in one pass.
+     * An engine that decodes nothing has a long part in prefill. A short prompt with a shared prefill runs before that
+     * part, and with its first event the engine does all the rest in one batch step. When only the time to the first
+     * event counted, short prompts were answered at once and then had a token gap of 1.6 s.
      */
     @Test
-    void beginsNoShortAnswerOnAnEngineInTheMiddleOfALongReading() {
+    void startsNoShortAnswerOnAnEngineDuringALongPrefill() {
         for (int i = 0; i < 4; i += 2) {
             EnginePlacement longOne = placement(1_000_000, i, i + 1);
             loadTable.place(new EnginePlacement(longOne.id(), longOne.parts(), 1_000_000, 30_000, 1_000), 0, 60_000);
         }
         for (int i = 4; i < ENGINES; i++) {
-            write(4_000, i);
+            decode(4_000, i);
         }
-        PromptRequest hasty = new PromptRequest(16_000, 800, 100, 250, 1_800, 0);
-        PlacementChoice choice = placer.choose(hasty, candidates(loadTable, ENGINES), 10);
+        PromptRequest impatient = new PromptRequest(16_000, 800, 100, 250, 1_800, 0);
+        PlacementChoice choice = placer.choose(impatient, candidates(loadTable, ENGINES), 10);
         assertThat(choice.parts().get(0).engine()).isGreaterThanOrEqualTo(engine(4));
     }
 
     /**
-     * Symptom: a prompt was refused for want of room though helpers could have read it in time. Sequence: engines are
-     * scarce, few helpers cost others least but take longer than the caller waits. Cause: patience was looked at only
-     * after the cheapest number of helpers had been chosen.
+     * Engines are scarce; few helpers are cheapest for other requests but take longer than the caller waits. When the
+     * caller's patience was checked only after the cheapest number of helpers was chosen, a prompt was refused for
+     * lack of capacity although more helpers would have been fast enough.
      */
     @Test
-    void choosesAmongNumbersOfHelpersThatAreFastEnoughForTheCaller() {
+    void choosesOnlyNumbersOfHelpersWithinTheCallersPatience() {
         for (int i = 0; i < ENGINES * 9; i++) {
-            write(4_000, i % ENGINES);
+            decode(4_000, i % ENGINES);
         }
         PromptRequest patient = new PromptRequest(340_000, 800, 3_000, 1_000, 10_800, 0);
-        PromptRequest hasty = new PromptRequest(340_000, 800, 3_000, 1_000, 500, 0);
+        PromptRequest impatient = new PromptRequest(340_000, 800, 3_000, 1_000, 500, 0);
         int cheapest = placer.choose(patient, candidates(loadTable, ENGINES), 0)
                 .parts()
                 .size();
-        PlacementChoice fast = placer.choose(hasty, candidates(loadTable, ENGINES), 0);
+        PlacementChoice fast = placer.choose(impatient, candidates(loadTable, ENGINES), 0);
         assertThat(fast.found()).isTrue();
         assertThat(fast.firstTokenMillis()).isLessThanOrEqualTo(500);
         assertThat(fast.parts().size()).isGreaterThan(cheapest);
     }
 
     /**
-     * Symptom: a broken stream waited until its caller left, beside idle engines. Sequence: all engines are likely to
-     * fail. Cause: the likely failure of the prompt itself counted as costToOthers to others.
+     * All engines are likely to fail. When the likely failure of the prompt itself counted as cost to others, a broken
+     * stream waited until its caller disconnected, beside idle engines.
      */
     @Test
-    void countsAsHarmOnlyWhatOthersLose() {
-        List<EngineCandidate> doubtful = candidates(loadTable, ENGINES).stream()
+    void countsOnlyTheLossOfOthersAsCostToOthers() {
+        List<EngineCandidate> failing = candidates(loadTable, ENGINES).stream()
                 .map(candidate -> new EngineCandidate(candidate.engine(), candidate.load(), 0.95, true))
                 .toList();
-        PlacementChoice choice = placer.choose(request(4_000), doubtful, 0);
+        PlacementChoice choice = placer.choose(request(4_000), failing, 0);
         assertThat(choice.cost()).isGreaterThan(PromptValue.of(4_000) * 0.9);
         assertThat(choice.costToOthers()).isLessThan(0.1);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
@@ -7,7 +7,7 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Engines with round figures: 200 tokens a millisecond, 50 ms a pass, and no pairs. */
+/** Engines with round figures: 200 prompt tokens a millisecond, batch steps of 50 ms, and no attention cost. */
 final class EngineTestData {
 
     static final ProcessId HERE = new ProcessId(new HostId("here"), 1);
@@ -29,16 +29,16 @@
             parts.add(new EnginePart(
                     engine(engine), PROFILE.prefillMillis(tokens, engines.length), parts.isEmpty() ? tokens : 0));
         }
-        long pause = tokens <= PromptValue.SHORT_TOKENS ? 250 : 1_000;
+        long tokenGapTarget = tokens <= PromptValue.SHORT_TOKENS ? 250 : 1_000;
         return new EnginePlacement(
                 new PlacementId(HERE, ++numbers),
                 parts,
                 tokens,
                 tokens <= PromptValue.SHORT_TOKENS ? 300 : 3_000,
-                pause);
+                tokenGapTarget);
     }
 
-    /** Makes a loadTable of idle engines. */
+    /** Makes a load table of idle engines. */
     static EngineLoadTable loadTable(int engines) {
         EngineLoadTable loadTable = new EngineLoadTable();
         for (int i = 0; i < engines; i++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void tellsWhatIsLeftToReadAndOfTheTime() {
+    void listsTheRemainingPrefillAndTime() {
         open.place(placement(1, 800), 10_000, 0);
         InFlightPlacements.Entry left = open.at(300).get(0);
         assertThat(left.placement().lead().prefillMillis()).isEqualTo(500);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void tellsThatAnAnswerIsBeingWritten() {
+    void listsThatAnAnswerIsBeingDecoded() {
         open.place(placement(1, 100), 10_000, 0);
         open.startDecoding(new PlacementId(ROUTER, 1));
         assertThat(open.at(500)).singleElement().matches(InFlightPlacements.Entry::decoding);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void leavesOutWhatEndedAndWhoseTimeIsOver() {
+    void omitsEndedAndExpiredPlacements() {
         open.place(placement(1, 100), 10_000, 0);
         open.place(placement(2, 100), 400, 0);
         open.place(placement(3, 100), 10_000, 0);
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Symptom: a router that has just started chooses an engine that is full. Sequence: another router's placements are
-     * told to it when a stream opens, and again as they were made. Cause to be excluded: counting them twice, or not.
+     * Another router's placements arrive when a stream opens, and again as they were made. They must count exactly
+     * once, or a router that has just started chooses an engine that is full.
      */
     @Test
-    void fillsTheBoardOfARouterThatDidNotHearOfThem() {
+    void fillsTheLoadTableOfARouterThatMissedThem() {
         EngineLoadTable loadTable = new EngineLoadTable();
         EnginePlacement known = placement(1, 100);
         loadTable.place(known, 0, 10_000);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/PendingPrefillsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PendingPrefillsTest.java
@@ -13,7 +13,7 @@
 class PendingPrefillsTest {
 
     private static final int ENGINES = 4;
-    private static final Offset<Double> CENT = Offset.offset(0.01);
+    private static final Offset<Double> HUNDREDTH = Offset.offset(0.01);
 
     private final EngineLoadTable loadTable = loadTable(ENGINES);
     private final List<EngineCandidate> engines = candidates(loadTable, ENGINES);
@@ -25,12 +25,12 @@
         PendingPrefills open = new PendingPrefills(engines, 10);
         double atOne = open.loss(engines.get(0), 4_000, true);
         assertThat(atOne).isBetween(shared.value() * 0.5, shared.value() * 1.2);
-        assertThat(open.loss(engines, 4_000, true)).isCloseTo(atOne, CENT);
+        assertThat(open.loss(engines, 4_000, true)).isCloseTo(atOne, HUNDREDTH);
     }
 
     @Test
-    void letsAPartWaitThatIsDoneBeforeTheOthers() {
-        // The second engine has 350 ms of its own to read first, so the first one's part may be late by as much.
+    void chargesNoDelayOfAPartThatIsDoneBeforeTheOthers() {
+        // The second engine has 350 ms of its own prefill first, so the part on the first one may be late by as much.
         loadTable.place(placement(280_000, 0, 1), 0, 60_000);
         loadTable.place(placement(140_000, 1, 2), 0, 60_000);
         PendingPrefills open = new PendingPrefills(engines, 1);
@@ -47,6 +47,6 @@
         PendingPrefills open = new PendingPrefills(engines, 10);
         double one = open.loss(engines.get(0), 4_000, true);
         assertThat(open.loss(List.of(engines.get(0), engines.get(2)), 4_000, true))
-                .isCloseTo(2 * one, CENT);
+                .isCloseTo(2 * one, HUNDREDTH);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/PerRouterEngineOrderTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PerRouterEngineOrderTest.java
@@ -17,7 +17,7 @@
     private static final int ENGINES = 23;
     private static final int ROUTERS = 7;
 
-    /** Prompts that one router takes in the half second in which it hears of no other: 152 in all were seen. */
+    /** Prompts that one router takes in the half second in which it knows of no other: 152 in total were observed. */
     private static final int PROMPTS_EACH = 22;
 
     private static final long MILLIS_BETWEEN_PROMPTS = 23;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void isTheSameForOneProcessAndAnotherForEachOther() {
+    void isStableForAProcessAndDifferentForOthers() {
         List<EngineCandidate> common = EngineTestData.candidates(EngineTestData.loadTable(ENGINES), ENGINES);
         List<UpstreamId> one = engines(PerRouterEngineOrder.of(process(1), common));
         assertThat(one).isEqualTo(engines(PerRouterEngineOrder.of(process(1), common)));
@@ -40,19 +40,19 @@
     }
 
     /**
-     * Symptom: right after all routers had lost power, engines rejected a third of the prompts while most engines were
-     * idle. Sequence: seven routers start with empty boards, take 154 short prompts in half a second, and hear of each
-     * other only then. Cause: each filled the engines in the same order.
+     * Seven routers start with empty load tables, take 154 short prompts in half a second, and learn of each other
+     * only then. When all filled the engines in the same order, engines rejected a third of the prompts while most
+     * engines were idle, right after all routers had lost power.
      */
     @Test
-    void spreadsThePromptsOfRoutersThatDoNotHearOfEachOther() {
+    void spreadsThePromptsOfRoutersThatDoNotKnowEachOther() {
         int slots = EngineTestData.PROFILE.slots();
-        assertThat(mostOnOneEngine(false)).isGreaterThan(4 * slots);
-        assertThat(mostOnOneEngine(true)).isLessThanOrEqualTo(2 * slots);
+        assertThat(maxOnOneEngine(false)).isGreaterThan(4 * slots);
+        assertThat(maxOnOneEngine(true)).isLessThanOrEqualTo(2 * slots);
     }
 
-    /** Plays the half second and returns how many prompts the fullest engine got. */
-    private static int mostOnOneEngine(boolean ownOrder) {
+    /** Simulates the half second and returns how many prompts the fullest engine got. */
+    private static int maxOnOneEngine(boolean ownOrder) {
         Map<UpstreamId, Integer> prompts = new HashMap<>();
         EnginePlacer placer = new EnginePlacer(EngineTestData.PROFILE);
         for (int router = 0; router < ROUTERS; router++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/PromptAdmissionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PromptAdmissionTest.java
@@ -16,18 +16,17 @@
 
     @ParameterizedTest
     @CsvSource({"0, false", "0.99, false", "1.01, true", "3, true"})
-    void findsAChoiceDearOnceOthersLoseMoreThanItsValue(double harmInValues, boolean dear) {
-        double costToOthers = harmInValues * PromptValue.of(LONG_TOKENS);
+    void findsAChoiceExpensiveOnceOthersLoseMoreThanItsValue(double costRatio, boolean expensive) {
+        double costToOthers = costRatio * PromptValue.of(LONG_TOKENS);
         PlacementChoice choice = new PlacementChoice(List.of(), 1_000, 0, costToOthers, costToOthers, false);
 
-        assertThat(PromptAdmission.isExpensive(choice, LONG_TOKENS)).isEqualTo(dear);
+        assertThat(PromptAdmission.isExpensive(choice, LONG_TOKENS)).isEqualTo(expensive);
     }
 
     /**
-     * Symptom: in a phase of short prompts these were late or refused for eight seconds. Sequence: a prompt of a
-     * million tokens arrives in a small fleet, is late in any case, and is placed on five engines for ten seconds each;
-     * its router is killed, its caller repeats it, and four more engines read it. Cause: a prompt that could wait no
-     * longer was placed whatever others lost by it.
+     * A prompt of a million tokens arrives in a small fleet and will be late anyway. When a prompt that could wait no
+     * longer was placed whatever it cost others, it took five engines for ten seconds each; its router was killed, the
+     * caller repeated it, and it took four more engines. Short prompts were late or refused for eight seconds.
      */
     @ParameterizedTest
     @CsvSource({
@@ -38,31 +37,31 @@
         "1.2, 0.9, true",
         "1.2, 0.7, false"
     })
-    void refusesWhatCostsOthersSeveralTimesWhatIsLeftOfItsValue(
-            double ownLossInValues, double harmInValues, boolean refused) {
+    void refusesAPromptThatCostsOthersSeveralTimesItsRemainingValue(
+            double ownLossRatio, double costRatio, boolean refused) {
         double value = PromptValue.of(LONG_TOKENS);
-        double costToOthers = harmInValues * value;
+        double costToOthers = costRatio * value;
         PlacementChoice choice =
-                new PlacementChoice(List.of(), 9_000, 0, costToOthers + ownLossInValues * value, costToOthers, false);
+                new PlacementChoice(List.of(), 9_000, 0, costToOthers + ownLossRatio * value, costToOthers, false);
 
         assertThat(PromptAdmission.isRefused(choice, LONG_TOKENS)).isEqualTo(refused);
     }
 
     /**
-     * Symptom: prompts would be refused beside idle engines. Sequence: all engines have just failed, so that an answer
-     * is unlikely from each of them, and the caller has waited past its target. Cause: with nothing left of a prompt's
-     * value the cost of an engine's place alone would refuse it.
+     * All engines have just failed, so that an answer from any of them is unlikely, and the caller has waited past its
+     * target. If nothing of the prompt's value remained, the cost of an engine's position alone would refuse it beside
+     * idle engines.
      */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 5_000, 45_000, LONG_TOKENS})
-    void triesIdleEnginesThatAreLikelyToFail(long promptTokens) {
+    void usesIdleEnginesThatAreLikelyToFail(long promptTokens) {
         EngineLoadTable loadTable = EngineTestData.loadTable(ENGINES);
-        List<EngineCandidate> doubtful = EngineTestData.candidates(loadTable, ENGINES).stream()
+        List<EngineCandidate> failing = EngineTestData.candidates(loadTable, ENGINES).stream()
                 .map(engine -> new EngineCandidate(engine.engine(), engine.load(), 0.95, true))
                 .toList();
 
         PlacementChoice choice = new EnginePlacer(EngineTestData.PROFILE)
-                .choose(new PromptRequest(promptTokens, 800, 1, 1_000, 10_800, 5_000), doubtful, 0);
+                .choose(new PromptRequest(promptTokens, 800, 1, 1_000, 10_800, 5_000), failing, 0);
 
         assertThat(choice.found()).isTrue();
         assertThat(PromptAdmission.isRefused(choice, promptTokens)).isFalse();
@@ -78,7 +77,7 @@
         "1000, 0, 3400, false",
         "0, 3000, 2600, true"
     })
-    void letsAPromptWaitWhileItsCallerStaysAndItsAnswerCanBeWritten(
+    void letsAPromptWaitWhileItsCallerStaysAndItsAnswerCanBeDecoded(
             double predictedMillis, long waitedMillis, long remainingMillis, boolean allowed) {
         assertThat(PromptAdmission.mayWait(predictedMillis, waitedMillis, 10_000, remainingMillis))
                 .isEqualTo(allowed);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/LoadSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/LoadSimulation.java
@@ -19,17 +19,17 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Plays a load in virtual time: prompts are placed on engines by what one loadTable tells of all of them. */
+/** Simulates a load in virtual time: prompts are placed on engines from one load table that knows all placements. */
 final class LoadSimulation implements SimulatedEngine.Listener {
 
     private static final ProcessId ROUTER = new ProcessId(new HostId("router"), 1);
 
-    /** Time between two looks of a prompt that waits, and from a decision to its arrival at the engines. */
+    /** Interval at which a waiting prompt is re-evaluated, and delay from a decision to its arrival at the engines. */
     private static final long RECHECK_MILLIS = 100;
 
     private static final long SEND_MILLIS = 5;
 
-    /** Time after the last arrival until which answers may end. */
+    /** Time after the last arrival in which answers may end. */
     private static final long END_MILLIS = 20_000;
 
     /** Share of a caller's patience that a prediction may use. */
@@ -45,23 +45,23 @@
     private final EngineLoadTable loadTable = new EngineLoadTable();
     private final Map<UpstreamId, SimulatedEngine> engines = new HashMap<>();
     private final List<EngineCandidate> candidates = new ArrayList<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Map<Long, SimulatedRequest> placed = new HashMap<>();
+    private final PriorityQueue<TimedAction> timers = new PriorityQueue<>();
+    private final Map<Long, SimulatedRequest> placedRequests = new HashMap<>();
     private final List<SimulatedRequest> requests = new ArrayList<>();
     private double nowMillis;
     private long numbers;
 
     /**
-     * Something that is due at a moment.
+     * An action that is due at a point in time.
      *
-     * @param atMillis the moment
-     * @param order decides between those of one moment
-     * @param action what is done
+     * @param atMillis the time
+     * @param order tie-break between actions of the same time
+     * @param action the action
      */
-    private record Timer(double atMillis, long order, Runnable action) implements Comparable<Timer> {
+    private record TimedAction(double atMillis, long order, Runnable action) implements Comparable<TimedAction> {
 
         @Override
-        public int compareTo(Timer other) {
+        public int compareTo(TimedAction other) {
             int byTime = Double.compare(atMillis, other.atMillis);
             return byTime == 0 ? Long.compare(order, other.order) : byTime;
         }
@@ -80,22 +80,22 @@
         }
     }
 
-    /** Plays a load once and returns its requests. */
-    static List<SimulatedRequest> play(SimulatedLoad load, PlacementPolicy.Factory factory, long seed) {
-        LoadSimulation play = new LoadSimulation(load, factory, seed);
-        for (int kind = 0; kind < load.kinds().size(); kind++) {
-            play.arriveNext(kind, 0);
+    /** Simulates a load once and returns its requests. */
+    static List<SimulatedRequest> simulate(SimulatedLoad load, PlacementPolicy.Factory factory, long seed) {
+        LoadSimulation simulation = new LoadSimulation(load, factory, seed);
+        for (int promptClass = 0; promptClass < load.classes().size(); promptClass++) {
+            simulation.arriveNext(promptClass, 0);
         }
-        play.run();
-        return play.requests;
+        simulation.run();
+        return simulation.requests;
     }
 
-    /** Plays a load with some seeds and returns the share of the value valueOnTime that was earnedValue. */
+    /** Simulates a load with several seeds and returns the share of the possible value that was earned. */
     static double earnedShare(SimulatedLoad load, PlacementPolicy.Factory factory, int seeds) {
         double valueOnTime = 0;
         double earnedValue = 0;
         for (int seed = 1; seed <= seeds; seed++) {
-            for (SimulatedRequest request : play(load, factory, seed)) {
+            for (SimulatedRequest request : simulate(load, factory, seed)) {
                 valueOnTime += request.valueOnTime();
                 earnedValue += request.earnedValue();
             }
@@ -110,7 +110,7 @@
             for (SimulatedEngine engine : engines.values()) {
                 engine.advance(nowMillis);
             }
-            engines.values().forEach(SimulatedEngine::act);
+            engines.values().forEach(SimulatedEngine::fireDue);
             while (!timers.isEmpty() && timers.peek().atMillis() <= nowMillis) {
                 timers.poll().action().run();
             }
@@ -128,48 +128,52 @@
     }
 
     private void at(double millis, Runnable action) {
-        timers.add(new Timer(Math.max(millis, nowMillis), ++numbers, action));
+        timers.add(new TimedAction(Math.max(millis, nowMillis), ++numbers, action));
     }
 
-    /** Draws the next arrival of a kind; candidates at the greatest rate are thinned out to the rate of the moment. */
-    private void arriveNext(int kind, double fromMillis) {
-        double most = load.maxPerSecond(kind);
+    /**
+     * Draws the next arrival of a class by thinning: candidates arrive at the maximum rate and are accepted with the
+     * ratio of the current rate to it.
+     */
+    private void arriveNext(int promptClass, double fromMillis) {
+        double maxRate = load.maxPerSecond(promptClass);
         double at = fromMillis;
         do {
-            at -= Math.log(1 - random.nextDouble()) / most * MILLIS_PER_SECOND;
-        } while (random.nextDouble() * most > load.ratePerSecond(kind, at));
+            at -= Math.log(1 - random.nextDouble()) / maxRate * MILLIS_PER_SECOND;
+        } while (random.nextDouble() * maxRate > load.ratePerSecond(promptClass, at));
         double arrivalMillis = at;
         if (arrivalMillis < load.lengthMillis()) {
             at(arrivalMillis, () -> {
-                arrive(load.kinds().get(kind));
-                arriveNext(kind, arrivalMillis);
+                arrive(load.classes().get(promptClass));
+                arriveNext(promptClass, arrivalMillis);
             });
         }
     }
 
-    private void arrive(PromptClass kind) {
-        long tokens = (long) drawn(kind.meanTokens(), kind.spread(), kind.maxTokens());
-        int events = (int) drawn(kind.meanEvents(), EVENT_SPREAD, kind.meanEvents() * MAX_EVENTS_RATIO);
-        SimulatedRequest request = new SimulatedRequest(kind, tokens, events, nowMillis);
+    private void arrive(PromptClass promptClass) {
+        long tokens = (long) randomLength(promptClass.meanTokens(), promptClass.spread(), promptClass.maxTokens());
+        int events =
+                (int) randomLength(promptClass.meanEvents(), EVENT_SPREAD, promptClass.meanEvents() * MAX_EVENTS_RATIO);
+        SimulatedRequest request = new SimulatedRequest(promptClass, tokens, events, nowMillis);
         requests.add(request);
-        at(nowMillis + kind.patienceMillis(), () -> {
+        at(nowMillis + promptClass.patienceMillis(), () -> {
             if (!request.hasStarted()) {
                 leave(request);
             }
         });
-        at(nowMillis + kind.limitMillis(), () -> leave(request));
+        at(nowMillis + promptClass.limitMillis(), () -> leave(request));
         decide(request);
     }
 
     /** Draws a length around a mean, at least 1. */
-    private double drawn(double mean, double spread, double most) {
+    private double randomLength(double mean, double spread, double max) {
         double sigma = Math.sqrt(Math.log(1 + spread * spread));
-        return Math.max(1, Math.min(most, mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2)));
+        return Math.max(1, Math.min(max, mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2)));
     }
 
     private void leave(SimulatedRequest request) {
         if (!request.isOver()) {
-            request.leave();
+            request.disconnect();
             end(request);
         }
     }
@@ -179,8 +183,8 @@
         if (placement != null) {
             loadTable.remove(placement.id(), (long) nowMillis);
             placement.parts().forEach(part -> engines.get(part.engine())
-                    .drop(placement.id().number()));
-            placed.remove(placement.id().number());
+                    .remove(placement.id().number()));
+            placedRequests.remove(placement.id().number());
         }
     }
 
@@ -189,15 +193,15 @@
         if (request.isOver()) {
             return;
         }
-        PromptClass kind = request.kind();
+        PromptClass promptClass = request.promptClass();
         long waited = (long) (nowMillis - request.arrivedMillis());
-        long left = (long) (kind.limitMillis() - waited);
-        long patience = (long) (kind.patienceMillis() * PLANNED_SHARE);
+        long left = (long) (promptClass.limitMillis() - waited);
+        long patience = (long) (promptClass.patienceMillis() * PLANNED_SHARE);
         PromptRequest prompt = new PromptRequest(
                 request.tokens(),
-                (long) (kind.meanEvents() * load.profile().decodeStepsPerBatchStep()),
-                Math.max(1, (long) kind.targetMillis() - waited),
-                (long) kind.tokenGapTargetMillis(),
+                (long) (promptClass.meanEvents() * load.profile().decodeStepsPerBatchStep()),
+                Math.max(1, (long) promptClass.targetMillis() - waited),
+                (long) promptClass.tokenGapTargetMillis(),
                 Math.min(left, patience - waited),
                 waited);
         PlacementChoice choice = placing.choose(prompt, candidates, (long) nowMillis);
@@ -223,32 +227,33 @@
                 prompt.targetLatencyMillis(),
                 prompt.tokenGapTargetMillis());
         request.place(placement);
-        placed.put(number, request);
-        loadTable.place(placement, (long) nowMillis, (long) request.kind().limitMillis());
+        placedRequests.put(number, request);
+        loadTable.place(
+                placement, (long) nowMillis, (long) request.promptClass().limitMillis());
         at(nowMillis + SEND_MILLIS, () -> {
             if (!request.isOver()) {
                 for (EnginePart part : placement.parts()) {
                     engines.get(part.engine())
-                            .take(number, placement.isShared(), part == placement.lead(), part.prefillMillis());
+                            .submit(number, placement.isShared(), part == placement.lead(), part.prefillMillis());
                 }
             }
         });
     }
 
     @Override
-    public void read(UpstreamId engine, long number) {
-        SimulatedRequest request = placed.get(number);
+    public void prefillDone(UpstreamId engine, long number) {
+        SimulatedRequest request = placedRequests.get(number);
         if (request == null || !request.prefillDoneBy(engine)) {
             return;
         }
         loadTable.startDecoding(request.placement().id(), (long) nowMillis);
-        engines.get(request.placement().lead().engine()).write(number, request.tokens());
+        engines.get(request.placement().lead().engine()).startDecoding(number, request.tokens());
         event(number);
     }
 
     @Override
     public void event(long number) {
-        SimulatedRequest request = placed.get(number);
+        SimulatedRequest request = placedRequests.get(number);
         if (request == null) {
             return;
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementPolicy.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementPolicy.java
@@ -12,32 +12,32 @@
 import org.apricotstack.core.engine.PromptAdmission;
 import org.apricotstack.core.engine.PromptRequest;
 
-/** A way of placing prompts that is compared with others. */
+/** A policy for placing prompts that is compared with others. */
 @FunctionalInterface
 interface PlacementPolicy {
 
     /** Chooses engines for a prompt. */
     PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis);
 
-    /** Tells whether a prompt that can wait no longer is refused rather than given to the engines chosen. */
+    /** Tells whether a prompt that can wait no longer is refused rather than placed on the chosen engines. */
     default boolean refuses(PlacementChoice choice, long promptTokens) {
         return PromptAdmission.isRefused(choice, promptTokens);
     }
 
-    /** Makes a way for some engines. */
+    /** Creates a policy for given engines. */
     @FunctionalInterface
     interface Factory {
 
-        /** Makes it. */
+        /** Creates the policy. */
         PlacementPolicy of(EngineProfile profile);
     }
 
-    /** Returns the way that routers use. */
+    /** Returns the policy that routers use. */
     static Factory current() {
         return profile -> new EnginePlacer(profile)::choose;
     }
 
-    /** Returns the way that routers use, with other figures of margins, and that refuses nothing that can be placed. */
+    /** Returns the policy that routers use, with other margins and without refusals of prompts that can be placed. */
     static Factory withoutRefusals(PlacementMargins margins) {
         return profile -> {
             EnginePlacer placer = new EnginePlacer(profile, margins);
@@ -55,7 +55,7 @@
         };
     }
 
-    /** Returns the way that gives each prompt whole to the engine that answers fewest. */
+    /** Returns the policy that gives each whole prompt to the engine that leads the fewest requests. */
     static Factory leastInFlight() {
         return profile -> (request, candidates, nowMillis) -> onOneEngine(
                 profile,
@@ -66,7 +66,7 @@
                         .orElseThrow());
     }
 
-    /** Returns the way that gives prompts whole to the engines in turn. */
+    /** Returns the policy that gives whole prompts to the engines in turn. */
     static Factory roundRobin() {
         return profile -> {
             int[] turn = new int[1];
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementUnderLoadTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementUnderLoadTest.java
@@ -10,12 +10,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Plays loads in virtual time and compares ways of placing by what callers get, on the same arrivals. */
+/** Simulates loads in virtual time and compares policies by what callers get from the same arrivals. */
 class PlacementUnderLoadTest {
 
     /**
-     * More in hand for pauses, a price of engines only when more than half of them are in use, and a prompt that can
-     * wait no longer is placed whatever others lose by it.
+     * Wider margins for token gaps, a price of engine time only above a utilization of 0.55, and no refusals: a prompt
+     * that can wait no longer is placed whatever it costs others.
      */
     private static final PlacementPolicy.Factory WITHOUT_REFUSALS =
             PlacementPolicy.withoutRefusals(new PlacementMargins(0.1, 0.55));
@@ -25,13 +25,13 @@
     private static final int RANDOM_DEPLOYMENTS = 30;
 
     /**
-     * Phases of long prompts, in which the engines that write also read. Share of the value valueOnTime that is
-     * earnedValue: with
-     * more in hand and without refusals 0.959 at 54 engines and 0.898 at 45, current 0.969 and 0.921.
+     * Phases of long prompts, in which engines that decode also prefill. Share of the possible value that is earned:
+     * 0.959 at 54 engines and 0.898 at 45 with wider margins and without refusals, 0.969 and 0.921 with the current
+     * policy.
      */
     @ParameterizedTest
     @ValueSource(ints = {45, 54})
-    void servesMoreInPhasesOfLongPromptsThanWhateverItCosts(int engines) {
+    void earnsMoreInPhasesOfLongPromptsThanWithoutRefusals(int engines) {
         SimulatedLoad load = SimulatedLoads.alternatingPhases(engines);
 
         double current = LoadSimulation.earnedShare(load, PlacementPolicy.current(), SEEDS);
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Deployments that no figure was chosen for: other engines, lengths, mixes, targets and swings. Share of the value
-     * valueOnTime that is earnedValue: 0.747 with more in hand and without refusals, 0.782 current.
+     * Deployments that no constant was chosen for, with other engines, lengths, mixes, targets and phases. Share of the
+     * possible value that is earned: 0.747 with wider margins and without refusals, 0.782 with the current policy.
      */
     @Test
-    void servesMoreOverDrawnDeploymentsThanOtherWays() {
+    void earnsMoreOverRandomDeploymentsThanOtherPolicies() {
         double current = meanOverRandomDeployments(PlacementPolicy.current());
 
         List<PlacementPolicy.Factory> others =
@@ -55,7 +55,7 @@
 
     private static double meanOverRandomDeployments(PlacementPolicy.Factory factory) {
         return LongStream.rangeClosed(1, RANDOM_DEPLOYMENTS)
-                .mapToDouble(seed -> LoadSimulation.earnedShare(SimulatedLoads.drawn(seed), factory, 1))
+                .mapToDouble(seed -> LoadSimulation.earnedShare(SimulatedLoads.randomDeployment(seed), factory, 1))
                 .average()
                 .orElseThrow();
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PromptClass.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PromptClass.java
@@ -1,17 +1,17 @@
 package org.apricotstack.core.engine.simulation;
 
 /**
- * One kind of prompts of a played load.
+ * One class of prompts of a simulated load.
  *
  * @param ratePerSecond prompts a second
  * @param meanTokens mean length, in tokens
- * @param spread standard deviation of the length in relation to its mean
- * @param maxTokens greatest length, in tokens
+ * @param spread standard deviation of the length relative to its mean
+ * @param maxTokens maximum length, in tokens
  * @param meanEvents mean number of events of an answer
- * @param targetMillis time to the first event that is on time, in milliseconds
- * @param tokenGapTargetMillis longest pause that is on time, in milliseconds
- * @param limitMillis time after which the caller leaves in any case, in milliseconds
- * @param value what an answer on time is value to its caller, at the mean length
+ * @param targetMillis target for the time to the first event, in milliseconds
+ * @param tokenGapTargetMillis target for the longest token gap, in milliseconds
+ * @param limitMillis time after which the caller disconnects in any case, in milliseconds
+ * @param value value of an answer on time to its caller, at the mean length
  */
 record PromptClass(
         double ratePerSecond,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedEngine.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedEngine.java
@@ -13,8 +13,9 @@
 /**
  * An engine in virtual time.
  *
- * <p>Without writers it reads at once, parts of shared readings first and the newest of them ahead. With writers it
- * works in batching: all prefill that waits when a pass begins is done in it, and the writers get an event at its end.
+ * <p>While no request decodes, it prefills without batch steps: parts of shared prefills first, newest first. While
+ * any request decodes, it works in batch steps: all prefill that is waiting when a step begins is done in it, and each
+ * decoding request gets an event at its end.
  */
 final class SimulatedEngine {
 
@@ -28,22 +29,22 @@
     private final List<Part> waiting = new ArrayList<>();
     private final List<Part> inStep = new ArrayList<>();
     private final List<Part> queued = new ArrayList<>();
-    private final Map<Long, Long> contextByWriter = new LinkedHashMap<>();
+    private final Map<Long, Long> contextByDecodingRequest = new LinkedHashMap<>();
     private final Set<Long> leads = new HashSet<>();
     private double nowMillis;
     private double stepEndMillis = NEVER;
 
-    /** Takes what happens at an engine. */
+    /** Receives the events of an engine. */
     interface Listener {
 
-        /** A part was read. */
-        void read(UpstreamId engine, long request);
+        /** Called when the prefill of a part is done. */
+        void prefillDone(UpstreamId engine, long request);
 
-        /** A writer got its next event. */
+        /** Called when a decoding request gets its next event. */
         void event(long request);
     }
 
-    /** A part that an engine is to read. */
+    /** A part of a prompt to prefill. */
     private static final class Part {
         private final long request;
         private final boolean shared;
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Creates an idle engine that is slower than its profile says by a factor. */
+    /** Creates an idle engine that is slower than its profile by a factor. */
     SimulatedEngine(UpstreamId id, EngineProfile profile, double slowdown, Listener listener) {
         this.id = id;
         this.profile = profile;
@@ -66,8 +67,8 @@
         this.listener = listener;
     }
 
-    /** Takes a part of a prompt; one that it is to answer waits until it has a slot. */
-    void take(long request, boolean shared, boolean lead, double prefillMillis) {
+    /** Submits a part of a prompt; if the engine leads the request, the part waits until a slot is free. */
+    void submit(long request, boolean shared, boolean lead, double prefillMillis) {
         Part part = new Part(request, shared, lead, prefillMillis * slowdown);
         if (lead && leads.size() >= profile.slots()) {
             queued.add(part);
@@ -83,20 +84,20 @@
         waiting.add(part.shared ? 0 : waiting.size(), part);
     }
 
-    /** Lets a request write, as its prompt was read. */
-    void write(long request, long contextTokens) {
-        contextByWriter.put(request, contextTokens);
+    /** Starts the decode of a request whose prefill is done. */
+    void startDecoding(long request, long contextTokens) {
+        contextByDecodingRequest.put(request, contextTokens);
         if (stepEndMillis == NEVER) {
             startStep();
         }
     }
 
-    /** Drops a request. */
-    void drop(long request) {
+    /** Removes a request. */
+    void remove(long request) {
         waiting.removeIf(part -> part.request == request);
         inStep.removeIf(part -> part.request == request);
         queued.removeIf(part -> part.request == request);
-        if (contextByWriter.remove(request) != null && contextByWriter.isEmpty()) {
+        if (contextByDecodingRequest.remove(request) != null && contextByDecodingRequest.isEmpty()) {
             waiting.addAll(0, inStep);
             inStep.clear();
             stepEndMillis = NEVER;
@@ -106,41 +107,41 @@
         }
     }
 
-    /** Returns when something happens next. */
+    /** Returns the time of the next event. */
     double nextMillis() {
-        if (!contextByWriter.isEmpty()) {
+        if (!contextByDecodingRequest.isEmpty()) {
             return stepEndMillis;
         }
         return waiting.isEmpty() ? NEVER : nowMillis + waiting.get(0).remainingMillis;
     }
 
-    /** Lets the time pass, at most until something happens. */
+    /** Advances the time; must not skip an event. */
     void advance(double toMillis) {
-        if (contextByWriter.isEmpty() && !waiting.isEmpty()) {
+        if (contextByDecodingRequest.isEmpty() && !waiting.isEmpty()) {
             waiting.get(0).remainingMillis -= toMillis - nowMillis;
         }
         nowMillis = toMillis;
     }
 
-    /** Does what is due. */
-    void act() {
+    /** Runs the event that is due, if any. */
+    void fireDue() {
         if (nextMillis() > nowMillis + ROUNDING_MILLIS) {
             return;
         }
-        if (contextByWriter.isEmpty()) {
-            listener.read(id, waiting.remove(0).request);
+        if (contextByDecodingRequest.isEmpty()) {
+            listener.prefillDone(id, waiting.remove(0).request);
         } else {
             endStep();
         }
     }
 
     private void endStep() {
-        List<Part> read = List.copyOf(inStep);
+        List<Part> prefilled = List.copyOf(inStep);
         inStep.clear();
         stepEndMillis = NEVER;
-        List.copyOf(contextByWriter.keySet()).forEach(listener::event);
-        read.forEach(part -> listener.read(id, part.request));
-        if (!contextByWriter.isEmpty() && stepEndMillis == NEVER) {
+        List.copyOf(contextByDecodingRequest.keySet()).forEach(listener::event);
+        prefilled.forEach(part -> listener.prefillDone(id, part.request));
+        if (!contextByDecodingRequest.isEmpty() && stepEndMillis == NEVER) {
             startStep();
         }
     }
@@ -148,10 +149,12 @@
     private void startStep() {
         inStep.addAll(waiting);
         waiting.clear();
-        long context =
-                contextByWriter.values().stream().mapToLong(Long::longValue).sum();
+        long context = contextByDecodingRequest.values().stream()
+                .mapToLong(Long::longValue)
+                .sum();
         double prefill =
                 inStep.stream().mapToDouble(part -> part.remainingMillis).sum();
-        stepEndMillis = nowMillis + profile.batchStepMillis(contextByWriter.size(), context) * slowdown + prefill;
+        stepEndMillis =
+                nowMillis + profile.batchStepMillis(contextByDecodingRequest.size(), context) * slowdown + prefill;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedLoad.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedLoad.java
@@ -5,35 +5,37 @@
 import org.apricotstack.core.engine.EngineProfile;
 
 /**
- * Engines and the prompts that they get.
+ * A set of engines and the prompts that they receive.
  *
- * @param profile the engines' figures
- * @param engines how many there are
- * @param maxSlowdown slowdown of the maxSlowdown engine; 1 if all are as fast as the figures say
- * @param kinds the kinds of prompts
- * @param phases for each phase a factor of the rate of each kind; they take turns
- * @param phaseMillis length of a phase, in milliseconds
+ * @param profile figures of the engines
+ * @param engines number of engines
+ * @param maxSlowdown slowdown of the slowest engine; 1 if all engines match the figures
+ * @param classes the classes of prompts
+ * @param phases a rate factor for each class in each phase; the phases alternate
+ * @param phaseMillis duration of a phase, in milliseconds
  * @param lengthMillis time in which prompts arrive, in milliseconds
  */
 record SimulatedLoad(
         EngineProfile profile,
         int engines,
         double maxSlowdown,
-        List<PromptClass> kinds,
+        List<PromptClass> classes,
         List<List<Double>> phases,
         long phaseMillis,
         long lengthMillis) {
 
-    /** Returns the rate of a kind at a moment, in prompts a second. */
-    double ratePerSecond(int kind, double nowMillis) {
+    /** Returns the rate of a class at a point in time, in prompts a second. */
+    double ratePerSecond(int promptClass, double nowMillis) {
         int phase = (int) (nowMillis / phaseMillis) % phases.size();
-        return kinds.get(kind).ratePerSecond() * phases.get(phase).get(kind);
+        return classes.get(promptClass).ratePerSecond() * phases.get(phase).get(promptClass);
     }
 
-    /** Returns the greatest rate of a kind, in prompts a second. */
-    double maxPerSecond(int kind) {
-        double most =
-                phases.stream().mapToDouble(phase -> phase.get(kind)).max().orElseThrow();
-        return kinds.get(kind).ratePerSecond() * most;
+    /** Returns the maximum rate of a class, in prompts a second. */
+    double maxPerSecond(int promptClass) {
+        double maxFactor = phases.stream()
+                .mapToDouble(phase -> phase.get(promptClass))
+                .max()
+                .orElseThrow();
+        return classes.get(promptClass).ratePerSecond() * maxFactor;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedLoads.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedLoads.java
@@ -6,7 +6,7 @@
 
 import org.apricotstack.core.engine.EngineProfile;
 
-/** Loads to play. */
+/** The loads that are simulated. */
 final class SimulatedLoads {
 
     private static final int STRIDE_STEPS = 52;
@@ -16,8 +16,8 @@
     private SimulatedLoads() {}
 
     /**
-     * Returns a fleet whose phases of many short prompts and of many long ones take turns. In the second about 30 of
-     * the engines are needed for prefill onOneEngine.
+     * Returns a fleet with alternating phases of many short prompts and of many long ones. In the long phases, prefill
+     * alone needs about 30 of the engines.
      */
     static SimulatedLoad alternatingPhases(int engines) {
         return new SimulatedLoad(
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Draws a deployment: engines of half to double speed with 4 to 32 slots, three kinds of prompts of 1,000 to a
-     * million tokens, and two phases. Reading the means takes 15 to 60% of the engines.
+     * Draws a deployment: engines of half to double speed with 4 to 32 slots, three classes of prompts of 1,000 to a
+     * million tokens, and two phases. Prefill of prompts of mean length takes 15 to 60% of the engines.
      */
-    static SimulatedLoad drawn(long seed) {
+    static SimulatedLoad randomDeployment(long seed) {
         Random random = new Random(seed);
         double speed = between(random, 0.5, 2);
         EngineProfile profile = new EngineProfile(
@@ -56,31 +56,32 @@
             between(random, 1_000, 10_000), between(random, 20_000, 80_000), between(random, 120_000, 300_000)
         };
         double[] shares = {between(random, 0.05, 0.15), between(random, 0.03, 0.15), between(random, 0.07, 0.3)};
-        List<PromptClass> kinds = new ArrayList<>();
+        List<PromptClass> classes = new ArrayList<>();
         List<Double> one = new ArrayList<>();
         List<Double> other = new ArrayList<>();
         for (int i = 0; i < lengths.length; i++) {
             double prefillMillis = profile.prefillMillis((long) lengths[i], 1);
             double target = i == 0 ? between(random, 250, 500) : between(random, 0.4, 1.6) * prefillMillis + 600;
-            double pause = between(random, 150, 300) * (1 + 1.5 * i);
-            kinds.add(new PromptClass(
+            double gap = between(random, 150, 300) * (1 + 1.5 * i);
+            classes.add(new PromptClass(
                     engines * shares[i] * MILLIS_PER_SECOND / prefillMillis,
                     lengths[i],
                     between(random, 0.3, 0.9),
                     1_000_000,
                     between(random, 10, 40),
                     target,
-                    pause,
+                    gap,
                     Math.max(10_000, 4 * target),
                     between(random, 0.5, 2) * Math.pow(lengths[i] / 5_000, 0.75)));
-            double swing = between(random, 0.1, 1);
-            one.add(1 + swing * (i == 0 ? 1 : -1));
+            double amplitude = between(random, 0.1, 1);
+            one.add(1 + amplitude * (i == 0 ? 1 : -1));
             other.add(2 - one.get(i));
         }
-        return new SimulatedLoad(profile, engines, between(random, 1, 1.1), kinds, List.of(one, other), 5_000, 10_000);
+        return new SimulatedLoad(
+                profile, engines, between(random, 1, 1.1), classes, List.of(one, other), 5_000, 10_000);
     }
 
-    private static double between(Random random, double least, double most) {
-        return least + (most - least) * random.nextDouble();
+    private static double between(Random random, double min, double max) {
+        return min + (max - min) * random.nextDouble();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedRequest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/SimulatedRequest.java
@@ -6,18 +6,19 @@
 import org.apricotstack.core.engine.EnginePlacement;
 import org.apricotstack.core.id.UpstreamId;
 
-/** One request of a played load, from its arrival to its end. */
+/** One request of a simulated load, from its arrival to its end. */
 final class SimulatedRequest {
 
     /** Share of its value that an answer keeps if it is late. */
     private static final double LATE_SHARE = 0.25;
 
-    /** Share of the value that does not depend on the length, and most that a length multiplies it by. */
+    /** Share of the value that does not depend on the length. */
     private static final double FIXED_SHARE = 0.3;
 
+    /** Maximum factor by which a length multiplies the value. */
     private static final double MAX_LENGTH_FACTOR = 4;
 
-    private final PromptClass kind;
+    private final PromptClass promptClass;
     private final long tokens;
     private final int events;
     private final double arrivedMillis;
@@ -26,18 +27,18 @@
     private int eventsSeen;
     private double firstMillis;
     private double lastMillis;
-    private double longestPauseMillis;
-    private boolean left;
+    private double longestTokenGapMillis;
+    private boolean hasLeft;
 
-    SimulatedRequest(PromptClass kind, long tokens, int events, double arrivedMillis) {
-        this.kind = kind;
+    SimulatedRequest(PromptClass promptClass, long tokens, int events, double arrivedMillis) {
+        this.promptClass = promptClass;
         this.tokens = tokens;
         this.events = events;
         this.arrivedMillis = arrivedMillis;
     }
 
-    PromptClass kind() {
-        return kind;
+    PromptClass promptClass() {
+        return promptClass;
     }
 
     long tokens() {
@@ -48,65 +49,65 @@
         return arrivedMillis;
     }
 
-    /** Returns where it was placed, or {@code null}. */
+    /** Returns its placement, or {@code null}. */
     EnginePlacement placement() {
         return placement;
     }
 
-    /** Notes where it is placed. */
+    /** Records its placement. */
     void place(EnginePlacement chosen) {
         placement = chosen;
         chosen.parts().forEach(part -> pendingEngines.add(part.engine()));
     }
 
-    /** Notes that an engine read its part; tells whether it was the last one. */
+    /** Records that an engine has finished its part; tells whether it was the last one. */
     boolean prefillDoneBy(UpstreamId engine) {
         return pendingEngines.remove(engine) && pendingEngines.isEmpty();
     }
 
-    /** Notes an event of the answer. */
+    /** Records an event of the answer. */
     void event(double nowMillis) {
         if (eventsSeen++ == 0) {
             firstMillis = nowMillis;
         } else {
-            longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastMillis);
+            longestTokenGapMillis = Math.max(longestTokenGapMillis, nowMillis - lastMillis);
         }
         lastMillis = nowMillis;
     }
 
-    /** Tells whether events came. */
+    /** Tells whether the answer has started. */
     boolean hasStarted() {
         return eventsSeen > 0;
     }
 
-    /** Tells whether the answer is whole. */
+    /** Tells whether the answer is complete. */
     boolean isComplete() {
         return eventsSeen >= events;
     }
 
-    /** Notes that its caller left, or that it was refused. */
-    void leave() {
-        left = true;
+    /** Records that its caller disconnected, or that it was refused. */
+    void disconnect() {
+        hasLeft = true;
     }
 
-    /** Tells whether nothing more happens. */
+    /** Tells whether nothing more can happen. */
     boolean isOver() {
-        return left || isComplete();
+        return hasLeft || isComplete();
     }
 
-    /** Returns what an answer on time would be value. */
+    /** Returns the value of the answer if it is on time. */
     double valueOnTime() {
-        double size = tokens / kind.meanTokens();
-        return kind.value() * Math.min(MAX_LENGTH_FACTOR, FIXED_SHARE + (1 - FIXED_SHARE) * size);
+        double size = tokens / promptClass.meanTokens();
+        return promptClass.value() * Math.min(MAX_LENGTH_FACTOR, FIXED_SHARE + (1 - FIXED_SHARE) * size);
     }
 
-    /** Returns what the answer was value. */
+    /** Returns the value that the answer earned. */
     double earnedValue() {
         if (!isComplete()) {
             return 0;
         }
-        boolean onTime =
-                firstMillis - arrivedMillis <= kind.targetMillis() && longestPauseMillis <= kind.tokenGapTargetMillis();
+        boolean onTime = firstMillis - arrivedMillis <= promptClass.targetMillis()
+                && longestTokenGapMillis <= promptClass.tokenGapTargetMillis();
         return onTime ? valueOnTime() : LATE_SHARE * valueOnTime();
     }
 }
