--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/AdmissionEstimate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/AdmissionEstimate.java
@@ -20,7 +20,7 @@
 final class AdmissionEstimate {
 
     /** Weight of a new answer length against those before. */
-    private static final double LEARNING = 0.1;
+    private static final double SMOOTHING = 0.1;
 
     private final Collection<UpstreamSlot> slots;
     private final GroupQueue queue;
@@ -35,38 +35,38 @@
     }
 
     /** Learns how much of the longest answer is used. */
-    void learnAnswerLength(QueuedAttempt item, long answerTokens) {
+    void recordAnswerLength(QueuedAttempt item, long answerTokens) {
         double share = Math.min(
                 1, (double) answerTokens / Math.max(1, item.command().work().outputTokens()));
-        answerShare.merge(item.lengthClass(), share, (old, fresh) -> old + LEARNING * (fresh - old));
+        answerShare.merge(item.lengthClass(), share, (old, fresh) -> old + SMOOTHING * (fresh - old));
     }
 
     /** Refuses an attempt that cannot end in time, or returns {@code null}. */
-    Refusal judge(QueuedAttempt item) {
-        UpstreamSlot typical = typical();
-        if (typical == null || !typical.predictor().isLearned()) {
+    Refusal refusalFor(QueuedAttempt item) {
+        UpstreamSlot representative = representative();
+        if (representative == null || !representative.predictor().hasEnoughSamples()) {
             return null;
         }
         double needed =
                 firstTokenMillis(item.lengthClass(), item.command().work().promptTokens())
-                        + decodeMillis(typical, item);
+                        + decodeMillis(representative, item);
         double left = item.command().deadline().remainingMillis(clock);
         if (needed <= left) {
             return null;
         }
-        long comeBack = Math.round(Math.min(needed - left, queueMillis(item.lengthClass()))) + 1;
+        long retryAfterMillis = Math.round(Math.min(needed - left, queueMillis(item.lengthClass()))) + 1;
         return new Refusal(
                 RefusalReason.CANNOT_FINISH_IN_TIME,
                 Outcome.NOT_RUN,
-                comeBack,
+                retryAfterMillis,
                 "Predicted " + Math.round(needed) + " ms, allowed " + Math.round(left) + " ms.");
     }
 
     /** Tells whether a waiting attempt cannot end in time even if it started now on an idle engine. */
-    boolean isHopeless(QueuedAttempt item) {
+    boolean cannotFinishInTime(QueuedAttempt item) {
         double left = item.command().deadline().remainingMillis(clock);
-        UpstreamSlot typical = typical();
-        if (typical == null || !typical.predictor().isLearned()) {
+        UpstreamSlot representative = representative();
+        if (representative == null || !representative.predictor().hasEnoughSamples()) {
             return left <= 0;
         }
         return left <= 0 || ownPrefillMillis(item) > left;
@@ -74,8 +74,8 @@
 
     /** Predicts the time until a new attempt of a class gets its first token. */
     double firstTokenMillis(LengthClass lengthClass, long promptTokens) {
-        UpstreamSlot typical = typical();
-        if (typical == null) {
+        UpstreamSlot representative = representative();
+        if (representative == null) {
             return 0;
         }
         double ahead = Double.MAX_VALUE;
@@ -84,42 +84,43 @@
                 ahead = Math.min(ahead, slot.predictor().prefillMillis(slot.outstandingBefore(lengthClass)));
             }
         }
-        return ahead + queueMillis(lengthClass) + typical.predictor().prefillMillis(promptTokens);
+        return ahead + queueMillis(lengthClass) + representative.predictor().prefillMillis(promptTokens);
     }
 
     /** Predicts the time until the waiting attempts of a class and of shorter ones have started. */
     double queueMillis(LengthClass lengthClass) {
-        UpstreamSlot typical = typical();
-        if (typical == null) {
+        UpstreamSlot representative = representative();
+        if (representative == null) {
             return 0;
         }
         long usable = slots.stream().filter(slot -> !slot.isLeaving()).count();
-        return typical.predictor().prefillMillis(queue.tokensUpTo(lengthClass)) / Math.max(1, usable);
+        return representative.predictor().prefillMillis(queue.tokensUpTo(lengthClass)) / Math.max(1, usable);
     }
 
     /** Predicts the prefill of an attempt on an idle engine. */
     double ownPrefillMillis(QueuedAttempt item) {
-        UpstreamSlot typical = typical();
-        return typical == null
+        UpstreamSlot representative = representative();
+        return representative == null
                 ? 0
-                : typical.predictor().prefillMillis(item.command().work().promptTokens());
+                : representative.predictor().prefillMillis(item.command().work().promptTokens());
     }
 
     /** Predicts the time from the first token to the end. */
-    private double decodeMillis(UpstreamSlot typical, QueuedAttempt item) {
+    private double decodeMillis(UpstreamSlot representative, QueuedAttempt item) {
         double share = answerShare.getOrDefault(item.lengthClass(), 0.0);
-        return typical.predictor()
+        return representative
+                .predictor()
                 .decodeMillis(Math.round(share * item.command().work().outputTokens()));
     }
 
     /** Returns the upstream that has learned most, as the pattern for all of the group. */
-    private UpstreamSlot typical() {
+    private UpstreamSlot representative() {
         UpstreamSlot first = null;
         for (UpstreamSlot slot : slots) {
             if (slot.isLeaving()) {
                 continue;
             }
-            if (slot.predictor().isLearned()) {
+            if (slot.predictor().hasEnoughSamples()) {
                 return slot;
             }
             first = first == null ? slot : first;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
@@ -28,10 +28,11 @@
 
     /**
      * Placements of one length class that may fail in a round before the rest of that class is left for the next.
-     * Counted over all classes, long prompts that wait for room would keep short ones behind them from being looked
+     * Counted over all classes, long prompts that wait for freeTokens would keep short ones behind them from being
+     * looked
      * at.
      */
-    private static final int MISSES = 8;
+    private static final int MAX_MISSES = 8;
 
     private final GroupId group;
     private final MonotonicClock clock;
@@ -56,7 +57,7 @@
     }
 
     /**
-     * Takes new published facts; the accounts of upstreams that remain are kept.
+     * Takes new published upstream; the accounts of upstreams that remain are kept.
      *
      * @param newOptions limits, order and choice
      * @param upstreams the upstreams of the group
@@ -71,10 +72,10 @@
                     .update(upstream);
         }
         for (UpstreamSlot slot : slots.values()) {
-            UpstreamId id = slot.facts().id();
+            UpstreamId id = slot.upstream().id();
             slot.setLeaving(leaving.contains(id) || !listed.contains(id));
         }
-        slots.values().removeIf(slot -> !listed.contains(slot.facts().id()) && slot.streams() == 0);
+        slots.values().removeIf(slot -> !listed.contains(slot.upstream().id()) && slot.streams() == 0);
     }
 
     /**
@@ -96,7 +97,7 @@
         if (full) {
             return Refusal.notRun(RefusalReason.QUEUE_FULL, Math.round(estimate.queueMillis(item.lengthClass())));
         }
-        Refusal refusal = estimate.judge(item);
+        Refusal refusal = estimate.refusalFor(item);
         if (refusal == null) {
             queue.add(item);
         }
@@ -110,13 +111,13 @@
      */
     public List<Assignment> startReady() {
         long now = clock.nanos();
-        Placement placement =
-                new Placement(slots.values(), options, clock.millis(), queue.hasWaiting(LengthClass.SHORT));
+        PlacementRound placement =
+                new PlacementRound(slots.values(), options, clock.millis(), queue.hasWaiting(LengthClass.SHORT));
         List<Assignment> assignments = new ArrayList<>();
         Map<LengthClass, Integer> misses = new EnumMap<>(LengthClass.class);
         List<QueuedAttempt> ordered = queue.ordered(item -> options.order().rate(item, ownPrefillMillis(item), now));
         for (QueuedAttempt item : ordered) {
-            if (misses.getOrDefault(item.lengthClass(), 0) >= MISSES) {
+            if (misses.getOrDefault(item.lengthClass(), 0) >= MAX_MISSES) {
                 continue;
             }
             List<UpstreamSlot> found = placement.find(item);
@@ -144,7 +145,7 @@
         }
         lead.prefixes().add(work.prefixFingerprints());
         running.put(attempt, new Running(item, List.copyOf(found), clock.nanos(), ahead + prefill / engines));
-        return new Assignment(item, found.stream().map(UpstreamSlot::facts).toList());
+        return new Assignment(item, found.stream().map(UpstreamSlot::upstream).toList());
     }
 
     /**
@@ -160,7 +161,7 @@
         run.firstTokenNanos = clock.nanos();
         run.slots.forEach(slot -> slot.prefillEnded(attempt));
         double millis = (double) (run.firstTokenNanos - run.startedNanos) / Deadline.NANOS_PER_MILLI;
-        run.slots.get(0).predictor().learnPrefill(run.expectedTokens, millis);
+        run.slots.get(0).predictor().recordPrefill(run.expectedTokens, millis);
     }
 
     /**
@@ -179,8 +180,8 @@
         lead.health().succeeded();
         double millis = (double) (clock.nanos() - run.firstTokenNanos) / Deadline.NANOS_PER_MILLI;
         if (run.firstTokenNanos != 0 && run.item.memoryTokens() > 0) {
-            lead.predictor().learnDecode(answerTokens - 1, millis);
-            estimate.learnAnswerLength(run.item, answerTokens);
+            lead.predictor().recordDecode(answerTokens - 1, millis);
+            estimate.recordAnswerLength(run.item, answerTokens);
         }
     }
 
@@ -200,17 +201,17 @@
         if (upstreamFault) {
             lead.prefixes().correct(run.item.command().work().prefixFingerprints(), 0);
         }
-        if (upstreamFault && mayTakeOut(lead)) {
+        if (upstreamFault && mayEject(lead)) {
             lead.health().failed(clock.millis());
         }
     }
 
     /** Not more than half of a group is out of use, as a fault of the work or the network would take out all. */
-    private boolean mayTakeOut(UpstreamSlot slot) {
+    private boolean mayEject(UpstreamSlot slot) {
         long out = slots.values().stream()
-                .filter(s -> s != slot && s.health().isOut())
+                .filter(s -> s != slot && s.health().isEjected())
                 .count();
-        return slot.health().isOut() || (out + 1) * 2 <= Math.max(2, slots.size());
+        return slot.health().isEjected() || (out + 1) * 2 <= Math.max(2, slots.size());
     }
 
     /**
@@ -229,7 +230,7 @@
      * @return the attempts removed
      */
     public List<QueuedAttempt> expire() {
-        List<QueuedAttempt> expired = queue.matching(item -> estimate.isHopeless(item));
+        List<QueuedAttempt> expired = queue.matching(item -> estimate.cannotFinishInTime(item));
         expired.forEach(item -> queue.remove(item.command().attempt()));
         return expired;
     }
@@ -255,7 +256,7 @@
         long now = clock.millis();
         int live = (int) slots.values().stream()
                 .filter(slot -> !slot.isLeaving()
-                        && (!slot.health().isOut() || slot.health().takesWork(now, 0)))
+                        && (!slot.health().isEjected() || slot.health().acceptsWork(now, 0)))
                 .count();
         return new GroupLoad(
                 group,
@@ -272,11 +273,11 @@
     public List<UpstreamStatus> status() {
         return slots.values().stream()
                 .map(s -> new UpstreamStatus(
-                        s.facts().id(),
+                        s.upstream().id(),
                         s.streams(),
                         s.heldTokens(),
                         s.isLeaving(),
-                        s.health().isOut()))
+                        s.health().isEjected()))
                 .toList();
     }
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Placement.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PlacementRound.java
@@ -11,31 +11,32 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Finds the upstreams for one attempt: one with room, or several of the group at once for a prompt beyond the
+ * Finds the upstreams for one attempt: one with freeTokens, or several of the group at once for a prompt beyond the
  * memory of one engine.
  *
  * <p>All engines of an attempt are taken in one step by the one owner of the group. No attempt holds some engines
- * while it waits for others, so there is no deadlock. An attempt that came first in the queue and found no room
- * <em>claims</em> the engines with the most room: later long prompts are kept off them until it starts, so it
+ * while it waits for others, so there is no deadlock. An attempt that came first in the queue and found no freeTokens
+ * <em>claims</em> the engines with the most freeTokens: later long prompts are kept off them until it starts, so it
  * cannot starve.
  */
-final class Placement {
+final class PlacementRound {
 
     /** Prefill tokens that an engine is given ahead, so that it never idles and the queue still decides. */
-    private static final long WINDOW_TOKENS = 8_192;
+    private static final long PREFILL_WINDOW_TOKENS = 8_192;
 
     private final Collection<UpstreamSlot> slots;
     private final SchedulerOptions options;
     private final long nowMillis;
-    private final boolean shortsWait;
+    private final boolean shortPromptsWaiting;
     private final Set<UpstreamId> claimed = new HashSet<>();
 
     /** Starts one round of placements. */
-    Placement(Collection<UpstreamSlot> slots, SchedulerOptions options, long nowMillis, boolean shortsWait) {
+    PlacementRound(
+            Collection<UpstreamSlot> slots, SchedulerOptions options, long nowMillis, boolean shortPromptsWaiting) {
         this.slots = slots;
         this.options = options;
         this.nowMillis = nowMillis;
-        this.shortsWait = shortsWait;
+        this.shortPromptsWaiting = shortPromptsWaiting;
     }
 
     /** Finds upstreams for an attempt; empty if it has to wait. */
@@ -69,8 +70,8 @@
         }
         List<Long> capacities = slots.stream()
                 .filter(slot -> !slot.isLeaving()
-                        && !item.command().excluded().contains(slot.facts().id()))
-                .map(slot -> slot.longerCapacity(options.shortShare()))
+                        && !item.command().excluded().contains(slot.upstream().id()))
+                .map(slot -> slot.nonShortCapacity(options.shortShare()))
                 .sorted(Comparator.reverseOrder())
                 .toList();
         for (int engines = 1; engines <= capacities.size(); engines++) {
@@ -84,18 +85,18 @@
     /** Tells whether an upstream may get a share of an attempt now. */
     private boolean fits(UpstreamSlot slot, QueuedAttempt item, long share) {
         LengthClass lengthClass = item.lengthClass();
-        if (!slot.takesWork(nowMillis)
-                || item.command().excluded().contains(slot.facts().id())) {
+        if (!slot.acceptsWork(nowMillis)
+                || item.command().excluded().contains(slot.upstream().id())) {
             return false;
         }
-        if (lengthClass != LengthClass.SHORT && claimed.contains(slot.facts().id())) {
+        if (lengthClass != LengthClass.SHORT && claimed.contains(slot.upstream().id())) {
             return false;
         }
         if (lengthClass == LengthClass.LONG && !mayPrefillLong(slot)) {
             return false;
         }
-        boolean windowOpen = slot.outstandingBefore(lengthClass) < WINDOW_TOKENS;
-        return windowOpen && share <= slot.room(lengthClass, options.shortShare());
+        boolean windowOpen = slot.outstandingBefore(lengthClass) < PREFILL_WINDOW_TOKENS;
+        return windowOpen && share <= slot.freeTokens(lengthClass, options.shortShare());
     }
 
     /** One long prefill an engine; while short prompts wait, some engines are kept free of long prefills. */
@@ -103,25 +104,25 @@
         if (slot.isPrefillingLong()) {
             return false;
         }
-        if (!shortsWait) {
+        if (!shortPromptsWaiting) {
             return true;
         }
         long prefilling = slots.stream().filter(UpstreamSlot::isPrefillingLong).count();
         return prefilling < Math.max(1, Math.floor(slots.size() * (1 - options.shortShare())));
     }
 
-    /** Keeps later long prompts off the engines that will have room first for this one. */
+    /** Keeps later long prompts off the engines that will have freeTokens first for this one. */
     private void claim(QueuedAttempt item, int engines, long share) {
         if (item.lengthClass() == LengthClass.SHORT || !claimed.isEmpty()) {
             return;
         }
         slots.stream()
                 .filter(slot -> !slot.isLeaving()
-                        && !item.command().excluded().contains(slot.facts().id()))
-                .filter(slot -> slot.longerCapacity(options.shortShare()) >= share)
-                .sorted(Comparator.comparingLong(slot -> -slot.room(item.lengthClass(), options.shortShare())))
+                        && !item.command().excluded().contains(slot.upstream().id()))
+                .filter(slot -> slot.nonShortCapacity(options.shortShare()) >= share)
+                .sorted(Comparator.comparingLong(slot -> -slot.freeTokens(item.lengthClass(), options.shortShare())))
                 .limit(engines)
-                .forEach(slot -> claimed.add(slot.facts().id()));
+                .forEach(slot -> claimed.add(slot.upstream().id()));
     }
 
     /** Divides and rounds up. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/ResponseRatioQueueOrder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/ResponseRatioQueueOrder.java
@@ -18,7 +18,7 @@
     static final double TARGET_MILLIS = 520;
 
     /** Own times below this count as this, in milliseconds, so that tiny prompts do not shut out all others. */
-    private static final double LEAST_OWN_MILLIS = 5;
+    private static final double MIN_OWN_MILLIS = 5;
 
     /** Rating that one step of service priority is worth. */
     private static final double PRIORITY_STEP = 0.25;
@@ -37,7 +37,7 @@
     @Override
     public double rate(QueuedAttempt item, double prefillMillis, long nowNanos) {
         double waited = item.waitedMillis(nowNanos);
-        double own = Math.max(LEAST_OWN_MILLIS, prefillMillis);
+        double own = Math.max(MIN_OWN_MILLIS, prefillMillis);
         double ratio = (waited + own) / own;
         double lateness = (waited + TARGET_MILLIS / 2) / TARGET_MILLIS;
         return slowdownWeight * ratio + (1 - slowdownWeight) * lateness - PRIORITY_STEP * item.priority();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/SchedulerOptions.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/SchedulerOptions.java
@@ -8,6 +8,6 @@
  * @param limits limits of the fleet
  * @param order the order of the queue
  * @param shortShare share of each engine's memory, and of the engines, kept for short prompts while any wait
- * @param chooser how an engine is chosen among those with room
+ * @param chooser how an engine is chosen among those with freeTokens
  */
 public record SchedulerOptions(FleetLimits limits, QueueOrder order, double shortShare, UpstreamChooser chooser) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/TimePredictor.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/TimePredictor.java
@@ -14,16 +14,16 @@
     private static final int WINDOW = 16;
 
     /** Replies that are needed before a prediction may turn a request away. */
-    private static final int NEEDED = 8;
+    private static final int MIN_SAMPLES = 8;
 
     /** Prefill rate that is assumed before the first reply, in tokens a millisecond. */
-    private static final double FIRST_PREFILL_RATE = 20;
+    private static final double INITIAL_PREFILL_RATE = 20;
 
     /** Decode time that is assumed before the first reply, in milliseconds a token. */
-    private static final double FIRST_DECODE_MILLIS = 20;
+    private static final double INITIAL_DECODE_MILLIS = 20;
 
-    private final Samples prefillRate = new Samples(FIRST_PREFILL_RATE);
-    private final Samples decodeMillis = new Samples(FIRST_DECODE_MILLIS);
+    private final Samples prefillRate = new Samples(INITIAL_PREFILL_RATE);
+    private final Samples decodeMillis = new Samples(INITIAL_DECODE_MILLIS);
 
     /**
      * Learns from a first token.
@@ -31,7 +31,7 @@
      * @param computedTokens prompt tokens that were computed, with those of requests ahead in the same engine
      * @param millis time from the start of the attempt to its first token
      */
-    public void learnPrefill(long computedTokens, double millis) {
+    public void recordPrefill(long computedTokens, double millis) {
         if (computedTokens > 0 && millis > 0) {
             prefillRate.add(computedTokens / millis);
         }
@@ -43,7 +43,7 @@
      * @param tokens tokens after the first
      * @param millis time from the first token to the end
      */
-    public void learnDecode(long tokens, double millis) {
+    public void recordDecode(long tokens, double millis) {
         if (tokens > 0) {
             decodeMillis.add(millis / tokens);
         }
@@ -74,8 +74,8 @@
      *
      * @return whether the predictions rest on replies
      */
-    public boolean isLearned() {
-        return prefillRate.count >= NEEDED && decodeMillis.count >= NEEDED;
+    public boolean hasEnoughSamples() {
+        return prefillRate.count >= MIN_SAMPLES && decodeMillis.count >= MIN_SAMPLES;
     }
 
     /** The last samples of one figure. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
@@ -9,23 +9,23 @@
 public final class UpstreamHealth {
 
     /** Failures in a row that take an upstream out of use. */
-    static final int FAILURES = 2;
+    static final int EJECTION_FAILURES = 2;
 
     /** First time out of use, in milliseconds. */
-    static final long FIRST_OUT_MILLIS = 1_000;
+    static final long BASE_EJECTION_MILLIS = 1_000;
 
     /** Longest time out of use, in milliseconds. */
-    static final long LONGEST_OUT_MILLIS = 16_000;
+    static final long MAX_EJECTION_MILLIS = 16_000;
 
     private int failures;
-    private long outUntilMillis = Long.MIN_VALUE;
+    private long ejectedUntilMillis = Long.MIN_VALUE;
 
     /**
      * Notes an attempt that ended well.
      */
     void succeeded() {
         failures = 0;
-        outUntilMillis = Long.MIN_VALUE;
+        ejectedUntilMillis = Long.MIN_VALUE;
     }
 
     /**
@@ -35,9 +35,9 @@
      */
     void failed(long nowMillis) {
         failures++;
-        if (failures >= FAILURES) {
-            int doublings = Math.min(failures - FAILURES, 10);
-            outUntilMillis = nowMillis + Math.min(LONGEST_OUT_MILLIS, FIRST_OUT_MILLIS << doublings);
+        if (failures >= EJECTION_FAILURES) {
+            int doublings = Math.min(failures - EJECTION_FAILURES, 10);
+            ejectedUntilMillis = nowMillis + Math.min(MAX_EJECTION_MILLIS, BASE_EJECTION_MILLIS << doublings);
         }
     }
 
@@ -48,11 +48,11 @@
      * @param streams streams that it runs
      * @return whether it is sound, or due for its one trial
      */
-    boolean takesWork(long nowMillis, int streams) {
-        if (failures < FAILURES) {
+    boolean acceptsWork(long nowMillis, int streams) {
+        if (failures < EJECTION_FAILURES) {
             return true;
         }
-        return nowMillis >= outUntilMillis && streams == 0;
+        return nowMillis >= ejectedUntilMillis && streams == 0;
     }
 
     /**
@@ -60,7 +60,7 @@
      *
      * @return whether it has failed too often in a row
      */
-    boolean isOut() {
-        return failures >= FAILURES;
+    boolean isEjected() {
+        return failures >= EJECTION_FAILURES;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamSlot.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamSlot.java
@@ -9,7 +9,7 @@
 import org.apricotstack.core.configuration.Upstream;
 import org.apricotstack.core.id.AttemptId;
 
-/** What the owner knows of one upstream: its published facts, and the work that the owner gave to it. */
+/** What the owner knows of one upstream: its published upstream, and the work that the owner gave to it. */
 public final class UpstreamSlot {
 
     private final TimePredictor predictor = new TimePredictor();
@@ -17,23 +17,23 @@
     private final UpstreamHealth health = new UpstreamHealth();
     private final Map<AttemptId, Share> shares = new HashMap<>();
     private final Map<LengthClass, Long> outstanding = new EnumMap<>(LengthClass.class);
-    private Upstream facts;
+    private Upstream upstream;
     private long heldTokens;
-    private long heldLongerTokens;
+    private long heldNonShortTokens;
     private boolean leaving;
 
     /**
      * Creates a slot without work.
      *
-     * @param facts the published facts
+     * @param upstream the published upstream
      */
-    UpstreamSlot(Upstream facts) {
-        this.facts = facts;
+    UpstreamSlot(Upstream upstream) {
+        this.upstream = upstream;
     }
 
-    /** Takes new published facts. */
-    void update(Upstream newFacts) {
-        facts = newFacts;
+    /** Takes new published upstream. */
+    void update(Upstream newUpstream) {
+        upstream = newUpstream;
     }
 
     /**
@@ -47,7 +47,7 @@
     void start(AttemptId attempt, LengthClass lengthClass, long tokens, long prefillTokens) {
         shares.put(attempt, new Share(lengthClass, tokens, prefillTokens));
         heldTokens += tokens;
-        heldLongerTokens += lengthClass == LengthClass.SHORT ? 0 : tokens;
+        heldNonShortTokens += lengthClass == LengthClass.SHORT ? 0 : tokens;
         outstanding.merge(lengthClass, prefillTokens, Long::sum);
     }
 
@@ -66,7 +66,7 @@
         Share share = shares.remove(attempt);
         if (share != null) {
             heldTokens -= share.tokens;
-            heldLongerTokens -= share.lengthClass == LengthClass.SHORT ? 0 : share.tokens;
+            heldNonShortTokens -= share.lengthClass == LengthClass.SHORT ? 0 : share.tokens;
         }
     }
 
@@ -96,24 +96,24 @@
      *
      * @param lengthClass the class
      * @param shortShare share of the memory that only short prompts may use
-     * @return the room in tokens
+     * @return the freeTokens in tokens
      */
-    long room(LengthClass lengthClass, double shortShare) {
-        long free = facts.memoryTokens() - heldTokens;
+    long freeTokens(LengthClass lengthClass, double shortShare) {
+        long free = upstream.memoryTokens() - heldTokens;
         if (lengthClass == LengthClass.SHORT) {
             return free;
         }
-        return Math.min(free, longerCapacity(shortShare) - heldLongerTokens);
+        return Math.min(free, nonShortCapacity(shortShare) - heldNonShortTokens);
     }
 
     /** Returns the memory that longer prompts may take on an empty engine. */
-    long longerCapacity(double shortShare) {
-        return (long) (facts.memoryTokens() * (1 - shortShare));
+    long nonShortCapacity(double shortShare) {
+        return (long) (upstream.memoryTokens() * (1 - shortShare));
     }
 
     /** Tells whether the upstream may get another stream now. */
-    boolean takesWork(long nowMillis) {
-        return !leaving && shares.size() < facts.maxStreams() && health.takesWork(nowMillis, shares.size());
+    boolean acceptsWork(long nowMillis) {
+        return !leaving && shares.size() < upstream.maxStreams() && health.acceptsWork(nowMillis, shares.size());
     }
 
     /** Marks the upstream as leaving or back. */
@@ -126,9 +126,9 @@
         return leaving;
     }
 
-    /** Returns the published facts. */
-    Upstream facts() {
-        return facts;
+    /** Returns the published upstream. */
+    Upstream upstream() {
+        return upstream;
     }
 
     /** Returns the predictor. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/order/DesiredUpstreamStates.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/order/DesiredUpstreamStates.java
@@ -11,18 +11,18 @@
 import org.apricotstack.core.id.ModelId;
 
 /**
- * Derives the orders to engines from the configuration alone.
+ * Derives the states to engines from the configuration alone.
  *
  * <p>Two routers at the same version give the same order with the same fencing number, so no leader is needed. A
  * router that wakes with an old version gives an order with a lower number, which engines that check refuse; at
- * engines that do not check, the owner reads back what they are and orders again.
+ * engines that do not check, the owner reads back what they are and states again.
  */
 public final class DesiredUpstreamStates {
 
     private DesiredUpstreamStates() {}
 
     /**
-     * Lists the orders of a group.
+     * Lists the states of a group.
      *
      * @param configuration the configuration in force
      * @param group the group
@@ -33,9 +33,9 @@
             return List.of();
         }
         Model model = configuration.model(new ModelId(group.target()));
-        List<DesiredUpstreamState> orders = new ArrayList<>();
+        List<DesiredUpstreamState> states = new ArrayList<>();
         for (Upstream upstream : configuration.upstreams(group.id())) {
-            orders.add(new DesiredUpstreamState(
+            states.add(new DesiredUpstreamState(
                     upstream.id(),
                     model.id().value(),
                     model.revision(),
@@ -43,6 +43,6 @@
                     upstream.role(),
                     configuration.version()));
         }
-        return orders;
+        return states;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
@@ -38,7 +38,7 @@
     private int requests;
 
     @BeforeEach
-    void startWithFourEngines() {
+    void registerFourEngines() {
         scheduler.update(options, engines(4), Set.of());
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void takesAllEnginesOfAPromptInOneStep() {
+    void assignsAllEnginesOfAPromptAtOnce() {
         QueuedAttempt item = item(200_000, 60_000);
         assertThat(scheduler.offer(item)).isNull();
         List<Assignment> started = scheduler.startReady();
@@ -111,14 +111,14 @@
     }
 
     /**
-     * Symptom: short prompts wait although engines have room for them.
+     * Symptom: short prompts wait although engines have freeTokens for them.
      *
-     * <p>Sequence of events: dozens of longer prompts wait for room and come first by their waiting time.
+     * <p>Sequence of events: dozens of longer prompts wait for freeTokens and come first by their waiting time.
      *
      * <p>Cause: a round gave up after a number of failed placements, before it came to the short ones.
      */
     @Test
-    void keepsAShareOfMemoryForShortPrompts() {
+    void reservesAShareOfMemoryForShortPrompts() {
         for (int i = 0; i < 40; i++) {
             scheduler.offer(item(50_000, 60_000));
         }
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void putsAShortPromptBeforeLongOnesThatCameEarlier() {
+    void startsAShortPromptBeforeLongOnesThatArrivedEarlier() {
         for (int i = 0; i < 8; i++) {
             scheduler.offer(item(70_000, 60_000));
         }
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void refusesAtOnceWhatCannotEndInTimeButOnlyOnceItHasLearned() {
+    void refusesWhatCannotFinishInTimeOnceItHasEnoughSamples() {
         assertThat(scheduler.offer(item(90_000, 10))).isNull();
         scheduler.cancelWaiting(new AttemptId(new RequestId("r0"), 1));
         for (int i = 0; i < 40; i++) {
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void takesNoSecondCopyOfAnAttempt() {
+    void refusesADuplicateAttempt() {
         QueuedAttempt item = item(1_000, 60_000);
         scheduler.offer(item);
         assertThat(scheduler.offer(item).reason()).isEqualTo(RefusalReason.DUPLICATE_ATTEMPT);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void takesFailingEnginesOutButNeverMoreThanHalf() {
+    void ejectsFailingEnginesButNeverMoreThanHalf() {
         for (int i = 0; i < 40; i++) {
             QueuedAttempt item = item(1_000, 60_000);
             scheduler.offer(item);
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void forgetsAnEngineThatWasRemovedOnceItsWorkHasEnded() {
+    void dropsARemovedEngineOnceItsWorkHasEnded() {
         QueuedAttempt item = item(1_000, 60_000);
         scheduler.offer(item);
         scheduler.startReady();
