--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/AdmissionEstimate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/AdmissionEstimate.java
@@ -11,15 +11,15 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Predicts when an attempt would end, and turns away what cannot end in time.
+ * Predicts when an attempt would finish, and refuses attempts that cannot finish in time.
  *
- * <p>A request that is queued although it cannot end in time wastes engine time that another request needs, and its
- * caller learns late what could have been said at once. Nothing is turned away on a prediction before the engines'
- * speed was learned from replies.
+ * <p>A request that is queued although it cannot finish in time wastes engine time that another request needs, and its
+ * caller learns late what could have been reported at once. Nothing is refused on a prediction before the speed of the
+ * engines has been measured from replies.
  */
 final class AdmissionEstimate {
 
-    /** Weight of a new answer length against those before. */
+    /** Weight of a new answer length in the exponential moving average. */
     private static final double SMOOTHING = 0.1;
 
     private final Collection<UpstreamSlot> slots;
@@ -34,14 +34,14 @@
         this.clock = clock;
     }
 
-    /** Learns how much of the longest answer is used. */
+    /** Records which share of the maximum answer length was used. */
     void recordAnswerLength(QueuedAttempt item, long answerTokens) {
         double share = Math.min(
                 1, (double) answerTokens / Math.max(1, item.command().work().outputTokens()));
         answerShare.merge(item.lengthClass(), share, (old, fresh) -> old + SMOOTHING * (fresh - old));
     }
 
-    /** Refuses an attempt that cannot end in time, or returns {@code null}. */
+    /** Returns the refusal of an attempt that cannot finish in time, or {@code null}. */
     Refusal refusalFor(QueuedAttempt item) {
         UpstreamSlot representative = representative();
         if (representative == null || !representative.predictor().hasEnoughSamples()) {
@@ -62,7 +62,7 @@
                 "Predicted " + Math.round(needed) + " ms, allowed " + Math.round(left) + " ms.");
     }
 
-    /** Tells whether a waiting attempt cannot end in time even if it started now on an idle engine. */
+    /** Tells whether a waiting attempt cannot finish in time even if it started now on an idle engine. */
     boolean cannotFinishInTime(QueuedAttempt item) {
         double left = item.command().deadline().remainingMillis(clock);
         UpstreamSlot representative = representative();
@@ -113,7 +113,9 @@
                 .decodeMillis(Math.round(share * item.command().work().outputTokens()));
     }
 
-    /** Returns the upstream that has learned most, as the pattern for all of the group. */
+    /**
+     * Returns an upstream that represents the whole group: the first one with enough samples, or else the first one.
+     */
     private UpstreamSlot representative() {
         UpstreamSlot first = null;
         for (UpstreamSlot slot : slots) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Assignment.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Assignment.java
@@ -5,9 +5,9 @@
 import org.apricotstack.core.configuration.Upstream;
 
 /**
- * An attempt that is to start now.
+ * An attempt that starts now.
  *
  * @param item the attempt
- * @param upstreams the upstreams that run it together; the first leads
+ * @param upstreams the upstreams that run it together; the first one is the lead
  */
 public record Assignment(QueuedAttempt item, List<Upstream> upstreams) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/DispatchCommand.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/DispatchCommand.java
@@ -8,13 +8,13 @@
 import org.apricotstack.core.time.Deadline;
 
 /**
- * One attempt, as the entry router gives it to the owner of a group.
+ * One attempt, as the entry router submits it to the owner of a group.
  *
  * @param attempt the attempt
  * @param group the group
- * @param work what to run
- * @param deadline when it must have ended, in the clock of the process that holds this value
- * @param resumeOffset units of the answer that the entry router has already
+ * @param work the work to run
+ * @param deadline time by which it must have ended, in the clock of the process that holds this value
+ * @param resumeOffset units of the answer that the entry router already has
  * @param excluded upstreams that failed this request before
  */
 public record DispatchCommand(
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupQueue.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupQueue.java
@@ -12,7 +12,7 @@
 import org.apricotstack.core.configuration.LengthClass;
 import org.apricotstack.core.id.AttemptId;
 
-/** The waiting attempts of a group, bounded by count and by prompt tokens. */
+/** The waiting attempts of a group; the scheduler bounds them by count and by prompt tokens. */
 final class GroupQueue {
 
     private final Map<AttemptId, QueuedAttempt> items = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
         return item;
     }
 
-    /** Tells whether an attempt waits. */
+    /** Tells whether an attempt is waiting. */
     boolean contains(AttemptId attempt) {
         return items.containsKey(attempt);
     }
@@ -54,7 +54,7 @@
         return sum;
     }
 
-    /** Tells whether an attempt of a class waits. */
+    /** Tells whether an attempt of a class is waiting. */
     boolean hasWaiting(LengthClass lengthClass) {
         return items.values().stream().anyMatch(item -> item.lengthClass() == lengthClass);
     }
@@ -73,7 +73,7 @@
     }
 
     /**
-     * An attempt with its rating, which is computed once for each sorting as it changes with time.
+     * An attempt with its rating, which is computed once for each sort because it changes with time.
      *
      * @param item the attempt
      * @param rating its rating
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
@@ -21,16 +21,15 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Queues and places the work of one group. It decides and keeps account; it does no I/O and starts no threads.
- * Calls must come one at a time.
+ * Queues the attempts of one group and assigns them to upstreams. It only decides and tracks state; it does no I/O and
+ * starts no threads. Not thread-safe: callers must serialize the calls.
  */
 public final class GroupScheduler {
 
     /**
-     * Placements of one length class that may fail in a round before the rest of that class is left for the next.
-     * Counted over all classes, long prompts that wait for freeTokens would keep short ones behind them from being
-     * looked
-     * at.
+     * Maximum number of attempts of one length class that may fail to be placed in a round before the rest of the
+     * class is skipped until the next round. If they were counted over all classes, long prompts that wait for memory
+     * would keep short ones behind them from being considered.
      */
     private static final int MAX_MISSES = 8;
 
@@ -46,7 +45,7 @@
      * Creates a scheduler without upstreams.
      *
      * @param group the group
-     * @param options limits, order and choice
+     * @param options limits, queue order and upstream choice
      * @param clock the local clock
      */
     public GroupScheduler(GroupId group, SchedulerOptions options, MonotonicClock clock) {
@@ -57,9 +56,9 @@
     }
 
     /**
-     * Takes new published upstream; the accounts of upstreams that remain are kept.
+     * Applies newly published upstreams and options; the state of upstreams that remain is kept.
      *
-     * @param newOptions limits, order and choice
+     * @param newOptions limits, queue order and upstream choice
      * @param upstreams the upstreams of the group
      * @param leaving upstreams that get no new work
      */
@@ -79,10 +78,10 @@
     }
 
     /**
-     * Takes an attempt into the queue, or refuses it at once.
+     * Queues an attempt, or refuses it at once.
      *
      * @param item the attempt
-     * @return {@code null} if it was taken, or why not
+     * @return {@code null} if it was queued, or else the refusal
      */
     public Refusal offer(QueuedAttempt item) {
         AttemptId attempt = item.command().attempt();
@@ -105,7 +104,7 @@
     }
 
     /**
-     * Starts what can start now.
+     * Starts the attempts that can start now.
      *
      * @return the attempts to start, in order; the scheduler counts them as running from now on
      */
@@ -149,7 +148,7 @@
     }
 
     /**
-     * Notes the first piece of an answer.
+     * Records the first token of an answer.
      *
      * @param attempt the attempt
      */
@@ -165,7 +164,7 @@
     }
 
     /**
-     * Notes a whole answer.
+     * Records a complete answer.
      *
      * @param attempt the attempt
      * @param answerTokens tokens that this attempt produced
@@ -186,10 +185,10 @@
     }
 
     /**
-     * Notes the end of an attempt without a whole answer.
+     * Records the end of an attempt without a complete answer.
      *
      * @param attempt the attempt
-     * @param upstreamFault whether the upstream is to blame
+     * @param upstreamFault whether the upstream caused the failure
      */
     public void failed(AttemptId attempt, boolean upstreamFault) {
         Running run = running.remove(attempt);
@@ -206,12 +205,15 @@
         }
     }
 
-    /** Not more than half of a group is out of use, as a fault of the work or the network would take out all. */
+    /**
+     * Tells whether an upstream may be ejected. At most half of a group is, as otherwise a fault of the work or the
+     * network would eject the whole group.
+     */
     private boolean mayEject(UpstreamSlot slot) {
-        long out = slots.values().stream()
+        long ejected = slots.values().stream()
                 .filter(s -> s != slot && s.health().isEjected())
                 .count();
-        return slot.health().isEjected() || (out + 1) * 2 <= Math.max(2, slots.size());
+        return slot.health().isEjected() || (ejected + 1) * 2 <= Math.max(2, slots.size());
     }
 
     /**
@@ -225,7 +227,7 @@
     }
 
     /**
-     * Removes what can no longer end in time, so that its caller is told at once.
+     * Removes attempts that can no longer finish in time, so that their callers get a reply at once.
      *
      * @return the attempts removed
      */
@@ -236,7 +238,7 @@
     }
 
     /**
-     * Marks one upstream as leaving by its own word.
+     * Marks an upstream as leaving because it announced this itself.
      *
      * @param upstream the upstream
      */
@@ -248,7 +250,7 @@
     }
 
     /**
-     * Returns the load that callers of this group are told.
+     * Returns the load that is reported to the callers of this group.
      *
      * @return the load
      */
@@ -266,9 +268,9 @@
     }
 
     /**
-     * Lists what operators see of the upstreams.
+     * Lists the status of the upstreams for operators.
      *
-     * @return a line for each upstream
+     * @return an entry for each upstream
      */
     public List<UpstreamStatus> status() {
         return slots.values().stream()
@@ -282,7 +284,7 @@
     }
 
     /**
-     * Returns how many attempts wait.
+     * Returns the number of waiting attempts.
      *
      * @return the length of the queue
      */
@@ -291,7 +293,7 @@
     }
 
     /**
-     * Returns how many attempts run.
+     * Returns the number of running attempts.
      *
      * @return the number
      */
@@ -299,12 +301,12 @@
         return running.size();
     }
 
-    /** Predicts the prefill of an attempt on an engine of the group that is idle. */
+    /** Predicts the prefill of an attempt on an idle engine of the group. */
     private double ownPrefillMillis(QueuedAttempt item) {
         return estimate.ownPrefillMillis(item);
     }
 
-    /** An attempt that runs. */
+    /** A running attempt. */
     private static final class Running {
         private final QueuedAttempt item;
         private final List<UpstreamSlot> slots;
@@ -312,7 +314,7 @@
         private final long expectedTokens;
         private long firstTokenNanos;
 
-        /** Creates the account of a started attempt. */
+        /** Creates the state of a started attempt. */
         private Running(QueuedAttempt item, List<UpstreamSlot> slots, long startedNanos, long expectedTokens) {
             this.item = item;
             this.slots = slots;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/LeastFirstTokenUpstreamChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/LeastFirstTokenUpstreamChooser.java
@@ -1,9 +1,11 @@
 package org.apricotstack.core.dispatch;
 
-/** Chooses the upstream with the least predicted time to first token, counting what it probably holds of the prompt. */
+/**
+ * Chooses the upstream with the lowest predicted time to first token, given the prefixes that it probably has cached.
+ */
 public final class LeastFirstTokenUpstreamChooser implements UpstreamChooser {
 
-    /** What each running stream adds, in milliseconds, as it slows the steps of the engine. */
+    /** Time that each running stream adds, in milliseconds, as it slows the steps of the engine. */
     private static final double STREAM_MILLIS = 0.2;
 
     @Override
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/LeastInFlightUpstreamChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/LeastInFlightUpstreamChooser.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.dispatch;
 
-/** Chooses the upstream with the fewest running streams: the rule for plain services, and a baseline. */
+/** Chooses the upstream with the fewest running streams; used for plain services, and as a baseline. */
 public final class LeastInFlightUpstreamChooser implements UpstreamChooser {
 
     @Override
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PlacementRound.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PlacementRound.java
@@ -11,17 +11,20 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Finds the upstreams for one attempt: one with freeTokens, or several of the group at once for a prompt beyond the
- * memory of one engine.
+ * Finds the upstreams for each attempt in one scheduling round: one with enough free memory, or several of the group
+ * at once for a prompt that exceeds the memory of one engine.
  *
- * <p>All engines of an attempt are taken in one step by the one owner of the group. No attempt holds some engines
- * while it waits for others, so there is no deadlock. An attempt that came first in the queue and found no freeTokens
- * <em>claims</em> the engines with the most freeTokens: later long prompts are kept off them until it starts, so it
+ * <p>All engines of an attempt are assigned in one step by the single owner of the group. No attempt holds some
+ * engines while it waits for others, so there is no deadlock. The first attempt of the queue that does not fit
+ * <em>claims</em> the engines with the most free memory: later long prompts are kept off them until it starts, so it
  * cannot starve.
  */
 final class PlacementRound {
 
-    /** Prefill tokens that an engine is given ahead, so that it never idles and the queue still decides. */
+    /**
+     * Maximum outstanding prefill tokens of an engine before it gets no more work: enough that it never idles, while
+     * later choices are still left to the queue.
+     */
     private static final long PREFILL_WINDOW_TOKENS = 8_192;
 
     private final Collection<UpstreamSlot> slots;
@@ -30,7 +33,7 @@
     private final boolean shortPromptsWaiting;
     private final Set<UpstreamId> claimed = new HashSet<>();
 
-    /** Starts one round of placements. */
+    /** Starts a scheduling round. */
     PlacementRound(
             Collection<UpstreamSlot> slots, SchedulerOptions options, long nowMillis, boolean shortPromptsWaiting) {
         this.slots = slots;
@@ -61,8 +64,9 @@
     }
 
     /**
-     * Returns how many engines an attempt needs together: the fewest on which it leaves the share of short prompts
-     * free. Returns 0 if the usable engines of the group cannot hold it even when they are empty.
+     * Returns how many engines an attempt needs together: the fewest that can hold it without the share of memory that
+     * is reserved for short prompts. Returns 0 if the usable engines of the group cannot hold it even when they are
+     * empty.
      */
     private int enginesNeeded(QueuedAttempt item) {
         if (item.lengthClass() == LengthClass.SHORT || item.memoryTokens() == 0) {
@@ -99,7 +103,10 @@
         return windowOpen && share <= slot.freeTokens(lengthClass, options.shortShare());
     }
 
-    /** One long prefill an engine; while short prompts wait, some engines are kept free of long prefills. */
+    /**
+     * Tells whether an engine may start a long prefill. Each engine runs one at a time; while short prompts wait, some
+     * engines are kept free of long prefills.
+     */
     private boolean mayPrefillLong(UpstreamSlot slot) {
         if (slot.isPrefillingLong()) {
             return false;
@@ -111,7 +118,7 @@
         return prefilling < Math.max(1, Math.floor(slots.size() * (1 - options.shortShare())));
     }
 
-    /** Keeps later long prompts off the engines that will have freeTokens first for this one. */
+    /** Keeps later long prompts off the engines that will have enough free memory for this one first. */
     private void claim(QueuedAttempt item, int engines, long share) {
         if (item.lengthClass() == LengthClass.SHORT || !claimed.isEmpty()) {
             return;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PrefixIndex.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PrefixIndex.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * Remembers which prefixes an engine probably holds.
+ * Tracks which prompt prefixes an engine probably has in its KV cache.
  *
- * <p>The index is a hint: engines evict without telling in time. A wrong hint costs a prefill, never a wrong
- * answer. Its size is bounded; one entry is a fingerprint of a whole prefix, so a prompt of a million tokens takes
- * as many entries as it has fingerprints, not as it has tokens.
+ * <p>The index is a hint, as engines do not report evictions in time. A wrong hint costs a prefill, never a wrong
+ * answer. Its size is bounded; each entry is a fingerprint of a whole prefix, so a prompt of a million tokens takes as
+ * many entries as it has fingerprints, not as it has tokens.
  */
 public final class PrefixIndex {
 
-    /** Prompt tokens that one fingerprint adds to the prefix of the one before. */
+    /** Prompt tokens covered by each fingerprint beyond the previous one. */
     public static final int TOKENS_PER_FINGERPRINT = 512;
 
-    /** Prefixes that are remembered for one engine. */
+    /** Maximum number of prefixes that are tracked for one engine. */
     private static final int CAPACITY = 4_096;
 
     private final Map<Long, Boolean> held = new LinkedHashMap<>(16, 0.75f, true) {
@@ -29,7 +29,7 @@
     };
 
     /**
-     * Notes that the engine has computed a prompt.
+     * Records that the engine has computed a prompt.
      *
      * @param fingerprints its fingerprints
      */
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Corrects the index by what the engine reported.
+     * Corrects the index by the number of cached tokens that the engine reported.
      *
      * @param fingerprints fingerprints of a prompt
-     * @param cachedTokens tokens that the engine had not to compute again
+     * @param cachedTokens tokens that the engine did not have to compute again
      */
     public void correct(List<Long> fingerprints, long cachedTokens) {
         int heldBlocks = (int) Math.min(fingerprints.size(), cachedTokens / TOKENS_PER_FINGERPRINT);
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Estimates how much of a prompt the engine holds.
+     * Estimates how many tokens of a prompt the engine has cached.
      *
      * @param fingerprints its fingerprints, shortest prefix first
      * @return tokens
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/QueueOrder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/QueueOrder.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.dispatch;
 
-/** Decides which waiting attempt comes first. */
+/** Defines the order of waiting attempts. */
 public interface QueueOrder {
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/QueuedAttempt.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/QueuedAttempt.java
@@ -7,14 +7,14 @@
  * An attempt in the queue of a group.
  *
  * @param command the attempt
- * @param lengthClass the class of its prompt
+ * @param lengthClass the length class of its prompt
  * @param priority priority of its service, 0 for the most urgent
  * @param arrivedNanos when it arrived, in the local clock
  */
 public record QueuedAttempt(DispatchCommand command, LengthClass lengthClass, int priority, long arrivedNanos) {
 
     /**
-     * Returns the time that it has waited.
+     * Returns how long it has waited.
      *
      * @param nowNanos the local clock
      * @return the time in milliseconds
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Returns the memory that it needs at its end.
+     * Returns the memory that it needs when its answer is complete.
      *
      * @return prompt and answer, in tokens
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/ResponseRatioQueueOrder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/ResponseRatioQueueOrder.java
@@ -1,11 +1,11 @@
 package org.apricotstack.core.dispatch;
 
 /**
- * Puts the highest response ratio first, mixed with the plain waiting time.
+ * Orders by the highest response ratio, mixed with the waiting time.
  *
- * <p>The response ratio is (waiting time + own time) / own time. It is the slowdown that the request has suffered
- * so far: a short prompt overtakes a long one soon after it arrives, and a long one still moves up as it waits, so
- * none starves. A preset that weighs time to first token over all lengths lowers the weight of the ratio.
+ * <p>The response ratio is (waiting time + own time) / own time. It is the slowdown of the request so far: a short
+ * prompt overtakes a long one soon after it arrives, and a long one still moves up as it waits, so none starves. A
+ * preset that values the time to first token equally for all lengths lowers the weight of the ratio.
  *
  * <ul>
  *   <li>Option {@code slowdownWeight}: 0 to 1, from the preset in force. 1 orders by slowdown alone, 0 by waiting
@@ -14,13 +14,13 @@
  */
 public final class ResponseRatioQueueOrder implements QueueOrder {
 
-    /** Time to first token that the target fleet promises to 95 in 100, in milliseconds. */
+    /** Target of the fleet for the 95th percentile of the time to first token, in milliseconds. */
     static final double TARGET_MILLIS = 520;
 
-    /** Own times below this count as this, in milliseconds, so that tiny prompts do not shut out all others. */
+    /** Minimum own time, in milliseconds, so that tiny prompts do not get ahead of all others. */
     private static final double MIN_OWN_MILLIS = 5;
 
-    /** Rating that one step of service priority is worth. */
+    /** Rating difference of one level of service priority. */
     private static final double PRIORITY_STEP = 0.25;
 
     private final double slowdownWeight;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/TimePredictor.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/TimePredictor.java
@@ -3,32 +3,33 @@
 import java.util.Arrays;
 
 /**
- * Predicts prefill and decode times of one engine from its own replies, as nobody can supply figures for the engines.
+ * Predicts prefill and decode times of one engine from its own replies, as no published figures of the engines are
+ * available.
  *
- * <p>Medians over the last replies are used: a single stalled reply does not move them, and an engine that becomes
- * slow moves them after half the window.
+ * <p>The predictions use the median of the last replies: a single stalled reply does not change it, and an engine that
+ * becomes slow changes it after half the window.
  */
 public final class TimePredictor {
 
-    /** Replies that are remembered. */
+    /** Number of replies in the window. */
     private static final int WINDOW = 16;
 
-    /** Replies that are needed before a prediction may turn a request away. */
+    /** Minimum number of replies before a prediction may cause a refusal. */
     private static final int MIN_SAMPLES = 8;
 
-    /** Prefill rate that is assumed before the first reply, in tokens a millisecond. */
+    /** Prefill rate assumed before the first reply, in tokens per millisecond. */
     private static final double INITIAL_PREFILL_RATE = 20;
 
-    /** Decode time that is assumed before the first reply, in milliseconds a token. */
+    /** Decode time assumed before the first reply, in milliseconds per token. */
     private static final double INITIAL_DECODE_MILLIS = 20;
 
     private final Samples prefillRate = new Samples(INITIAL_PREFILL_RATE);
     private final Samples decodeMillis = new Samples(INITIAL_DECODE_MILLIS);
 
     /**
-     * Learns from a first token.
+     * Records the prefill time of a reply.
      *
-     * @param computedTokens prompt tokens that were computed, with those of requests ahead in the same engine
+     * @param computedTokens prompt tokens that were computed, including those of earlier requests in the same engine
      * @param millis time from the start of the attempt to its first token
      */
     public void recordPrefill(long computedTokens, double millis) {
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Learns from the end of an answer.
+     * Records the decode time of a reply.
      *
-     * @param tokens tokens after the first
+     * @param tokens tokens after the first one
      * @param millis time from the first token to the end
      */
     public void recordDecode(long tokens, double millis) {
@@ -50,7 +51,7 @@
     }
 
     /**
-     * Predicts a prefill.
+     * Predicts the time of a prefill.
      *
      * @param tokens tokens to compute
      * @return the time in milliseconds
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Predicts a decode.
+     * Predicts the time of a decode.
      *
      * @param tokens tokens of the answer
      * @return the time in milliseconds
@@ -70,15 +71,15 @@
     }
 
     /**
-     * Tells whether enough was learned to turn requests away.
+     * Tells whether there are enough samples to refuse requests on a prediction.
      *
-     * @return whether the predictions rest on replies
+     * @return whether the predictions are based on replies
      */
     public boolean hasEnoughSamples() {
         return prefillRate.count >= MIN_SAMPLES && decodeMillis.count >= MIN_SAMPLES;
     }
 
-    /** The last samples of one figure. */
+    /** A sliding window of the last samples of one quantity. */
     private static final class Samples {
         private final double first;
         private final double[] values = new double[WINDOW];
@@ -100,7 +101,7 @@
             median = sorted[sorted.length / 2];
         }
 
-        /** Returns the median, or the first guess. */
+        /** Returns the median, or the initial value if there are no samples. */
         private double median() {
             return count == 0 ? first : median;
         }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamChooser.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.dispatch;
 
-/** Chooses among the upstreams that have freeTokens for an attempt. */
+/** Chooses among the upstreams that have free capacity for an attempt. */
 public interface UpstreamChooser {
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
@@ -1,35 +1,33 @@
 package org.apricotstack.core.dispatch;
 
 /**
- * Takes an upstream out of use after failures in a row, and back by a single request at a time.
+ * Outlier ejection of an upstream: ejects it after consecutive failures and readmits it with a single trial request.
  *
- * <p>A dead engine answers its failures faster than a sound one answers requests, so a choice by least load would
- * send it everything. The time out of use doubles up to a bound.
+ * <p>A dead engine returns failures faster than a healthy one answers requests, so a choice by least load would send
+ * it everything. The ejection time doubles up to a maximum.
  */
 public final class UpstreamHealth {
 
-    /** Failures in a row that take an upstream out of use. */
+    /** Consecutive failures that eject an upstream. */
     static final int EJECTION_FAILURES = 2;
 
-    /** First time out of use, in milliseconds. */
+    /** First ejection time, in milliseconds. */
     static final long BASE_EJECTION_MILLIS = 1_000;
 
-    /** Longest time out of use, in milliseconds. */
+    /** Maximum ejection time, in milliseconds. */
     static final long MAX_EJECTION_MILLIS = 16_000;
 
     private int failures;
     private long ejectedUntilMillis = Long.MIN_VALUE;
 
-    /**
-     * Notes an attempt that ended well.
-     */
+    /** Records a successful attempt. */
     void succeeded() {
         failures = 0;
         ejectedUntilMillis = Long.MIN_VALUE;
     }
 
     /**
-     * Notes a failed attempt.
+     * Records a failed attempt.
      *
      * @param nowMillis the local clock
      */
@@ -46,7 +44,7 @@
      *
      * @param nowMillis the local clock
      * @param streams streams that it runs
-     * @return whether it is sound, or due for its one trial
+     * @return whether it is healthy, or due for its trial request
      */
     boolean acceptsWork(long nowMillis, int streams) {
         if (failures < EJECTION_FAILURES) {
@@ -56,9 +54,9 @@
     }
 
     /**
-     * Tells whether the upstream is out of use.
+     * Tells whether the upstream is ejected.
      *
-     * @return whether it has failed too often in a row
+     * @return whether it has had too many consecutive failures
      */
     boolean isEjected() {
         return failures >= EJECTION_FAILURES;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamSlot.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamSlot.java
@@ -9,7 +9,7 @@
 import org.apricotstack.core.configuration.Upstream;
 import org.apricotstack.core.id.AttemptId;
 
-/** What the owner knows of one upstream: its published upstream, and the work that the owner gave to it. */
+/** The owner's state of one upstream: its published data, and the work that the owner assigned to it. */
 public final class UpstreamSlot {
 
     private final TimePredictor predictor = new TimePredictor();
@@ -25,23 +25,23 @@
     /**
      * Creates a slot without work.
      *
-     * @param upstream the published upstream
+     * @param upstream the published data
      */
     UpstreamSlot(Upstream upstream) {
         this.upstream = upstream;
     }
 
-    /** Takes new published upstream. */
+    /** Replaces the published data. */
     void update(Upstream newUpstream) {
         upstream = newUpstream;
     }
 
     /**
-     * Gives a share of an attempt to the upstream.
+     * Assigns a share of an attempt to the upstream.
      *
      * @param attempt the attempt
-     * @param lengthClass the class of its prompt
-     * @param tokens memory that it takes here, in tokens
+     * @param lengthClass the length class of its prompt
+     * @param tokens memory that it uses here, in tokens
      * @param prefillTokens prompt tokens to compute here
      */
     void start(AttemptId attempt, LengthClass lengthClass, long tokens, long prefillTokens) {
@@ -51,7 +51,7 @@
         outstanding.merge(lengthClass, prefillTokens, Long::sum);
     }
 
-    /** Notes that the prefill of an attempt has ended. */
+    /** Records that the prefill of an attempt has ended. */
     void prefillEnded(AttemptId attempt) {
         Share share = shares.get(attempt);
         if (share != null && share.prefillTokens > 0) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Takes back the share of an attempt that has ended. */
+    /** Releases the share of an attempt that has ended. */
     void end(AttemptId attempt) {
         prefillEnded(attempt);
         Share share = shares.remove(attempt);
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Returns prefill tokens that stand before a new prompt of a class, as engines honour priorities by class.
+     * Returns the prefill tokens that run before a new prompt of a class, as engines prioritize shorter classes.
      *
      * @param lengthClass the class
      * @return tokens of this class and shorter ones
@@ -86,17 +86,17 @@
         return sum;
     }
 
-    /** Tells whether a long prompt is in its prefill here. */
+    /** Tells whether the upstream is prefilling a long prompt. */
     boolean isPrefillingLong() {
         return outstanding.getOrDefault(LengthClass.LONG, 0L) > 0;
     }
 
     /**
-     * Returns memory that a prompt of a class may take.
+     * Returns the free memory that a prompt of a class may use.
      *
      * @param lengthClass the class
      * @param shortShare share of the memory that only short prompts may use
-     * @return the freeTokens in tokens
+     * @return free memory in tokens
      */
     long freeTokens(LengthClass lengthClass, double shortShare) {
         long free = upstream.memoryTokens() - heldTokens;
@@ -106,7 +106,7 @@
         return Math.min(free, nonShortCapacity(shortShare) - heldNonShortTokens);
     }
 
-    /** Returns the memory that longer prompts may take on an empty engine. */
+    /** Returns the memory that prompts of the longer classes may use on an empty engine. */
     long nonShortCapacity(double shortShare) {
         return (long) (upstream.memoryTokens() * (1 - shortShare));
     }
@@ -116,7 +116,7 @@
         return !leaving && shares.size() < upstream.maxStreams() && health.acceptsWork(nowMillis, shares.size());
     }
 
-    /** Marks the upstream as leaving or back. */
+    /** Marks the upstream as leaving, or clears the mark. */
     void setLeaving(boolean isLeaving) {
         leaving = isLeaving;
     }
@@ -126,7 +126,7 @@
         return leaving;
     }
 
-    /** Returns the published upstream. */
+    /** Returns the published data. */
     Upstream upstream() {
         return upstream;
     }
@@ -136,12 +136,12 @@
         return predictor;
     }
 
-    /** Returns what prefixes it probably holds. */
+    /** Returns the index of the prefixes that it probably has cached. */
     PrefixIndex prefixes() {
         return prefixes;
     }
 
-    /** Returns its health. */
+    /** Returns its health record. */
     UpstreamHealth health() {
         return health;
     }
@@ -156,15 +156,15 @@
         return shares.keySet();
     }
 
-    /** Returns the memory that the owner's work takes here, in tokens. */
+    /** Returns the memory that the owner's work uses here, in tokens. */
     long heldTokens() {
         return heldTokens;
     }
 
     /**
-     * The part of an attempt that one upstream runs.
+     * The share of an attempt that one upstream runs.
      *
-     * @param lengthClass the class of its prompt
+     * @param lengthClass the length class of its prompt
      * @param tokens memory in tokens
      * @param prefillTokens prompt tokens still to compute
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Work.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Work.java
@@ -6,17 +6,17 @@
 import org.apricotstack.core.id.ServiceId;
 
 /**
- * What an upstream is to run. The body is the caller's, byte for byte, and is not to be changed.
+ * The work that an upstream runs. The body is the caller's, byte for byte, and must not be changed.
  *
- * @param account the client account that asked
- * @param service the service that it asked for
+ * @param account the client account that sent the request
+ * @param service the requested service
  * @param promptTokens estimated length of the prompt, in tokens; 0 for plain services
- * @param outputTokens longest answer asked for, in tokens; 0 for plain services
+ * @param outputTokens maximum length of the answer, in tokens; 0 for plain services
  * @param prefixFingerprints fingerprints of the leading prompt blocks, shortest prefix first
  * @param body the body
- * @param call how a plain service is to be called; {@code null} for completions
+ * @param call the call to a plain service; {@code null} for completions
  * @param repeatable whether running it twice is harmless
- * @param configurationVersion version under which it was admitted
+ * @param configurationVersion configuration version under which it was admitted
  */
 public record Work(
         ClientAccountId account,
@@ -30,7 +30,7 @@
         long configurationVersion) {
 
     /**
-     * How a plain service is to be called.
+     * A call to a plain service.
      *
      * @param method HTTP method
      * @param path path and query below the service
--- a/apricotstack-core/src/main/java/org/apricotstack/core/order/DesiredUpstreamStates.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/order/DesiredUpstreamStates.java
@@ -11,22 +11,22 @@
 import org.apricotstack.core.id.ModelId;
 
 /**
- * Derives the states to engines from the configuration alone.
+ * Derives the desired states of the engines from the configuration alone.
  *
- * <p>Two routers at the same version give the same order with the same fencing number, so no leader is needed. A
- * router that wakes with an old version gives an order with a lower number, which engines that check refuse; at
- * engines that do not check, the owner reads back what they are and states again.
+ * <p>Two routers at the same version derive the same state with the same fencing number, so no leader is needed. A
+ * router that resumes with an old version sends a lower number, which engines that check it refuse. For engines that
+ * do not check it, the owner reads back the actual state and sends the order again.
  */
 public final class DesiredUpstreamStates {
 
     private DesiredUpstreamStates() {}
 
     /**
-     * Lists the states of a group.
+     * Lists the desired states of the engines of a group.
      *
      * @param configuration the configuration in force
      * @param group the group
-     * @return an order for each engine; none for plain services
+     * @return a state for each engine; none for plain services
      */
     public static List<DesiredUpstreamState> of(FleetConfiguration configuration, Group group) {
         if (group.kind() != ServiceKind.COMPLETION) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/order/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/order/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Orders to upstreams as a function of the published configuration.
+ * Desired states of upstreams as a function of the published configuration; an order asks an upstream for its state.
  */
 package org.apricotstack.core.order;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
@@ -74,16 +74,13 @@
     }
 
     /**
-     * Symptom: prompts beyond one engine wait for each other for good, or one of them is passed over for good.
-     *
-     * <p>Sequence of events: several such prompts and a flow of medium ones, which end in random order.
-     *
-     * <p>Cause to be excluded: holding some engines while waiting for others, and later prompts taking each engine
-     * that becomes free.
+     * Several prompts that exceed one engine run beside a flow of medium ones that end in random order. If a prompt
+     * held some engines while waiting for others, such prompts would wait for each other forever; if later prompts
+     * took each engine that becomes free, one of them would never start.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void startsEveryLongPromptInTheEnd(long seed) {
+    void startsEveryLongPromptEventually(long seed) {
         Random random = new Random(seed);
         List<AttemptId> running = new ArrayList<>();
         Set<AttemptId> longOnes = new HashSet<>();
@@ -111,11 +108,9 @@
     }
 
     /**
-     * Symptom: short prompts wait although engines have freeTokens for them.
-     *
-     * <p>Sequence of events: dozens of longer prompts wait for freeTokens and come first by their waiting time.
-     *
-     * <p>Cause: a round gave up after a number of failed placements, before it came to the short ones.
+     * Dozens of longer prompts wait for free memory and are rated first because of their waiting time. When a round
+     * stopped after a number of failed placements over all classes, short prompts waited although engines had memory
+     * for them.
      */
     @Test
     void reservesAShareOfMemoryForShortPrompts() {
