--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/GroupScheduler.java
@@ -21,17 +21,17 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Queues and places the work of one group. It decides and keeps account; it does no I/O and starts no threads.
- * Calls must come one at a time.
+ * Queues the attempts of one group and assigns them to upstreams. It only decides and tracks state; it does no I/O and
+ * starts no threads. Not thread-safe: callers must serialize the calls.
  */
 public final class GroupScheduler {
 
     /**
-     * Placements of one length class that may fail in a round before the rest of that class is left for the next.
-     * Counted over all classes, long prompts that wait for room would keep short ones behind them from being looked
-     * at.
+     * Maximum number of attempts of one length class that may fail to be placed in a round before the rest of the
+     * class is skipped until the next round. If they were counted over all classes, long prompts that wait for memory
+     * would keep short ones behind them from being considered.
      */
-    private static final int MISSES = 8;
+    private static final int MAX_MISSES = 8;
 
     private final GroupId group;
     private final MonotonicClock clock;
@@ -45,7 +45,7 @@
      * Creates a scheduler without upstreams.
      *
      * @param group the group
-     * @param options limits, order and choice
+     * @param options limits, queue order and upstream choice
      * @param clock the local clock
      */
     public GroupScheduler(GroupId group, SchedulerOptions options, MonotonicClock clock) {
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Takes new published facts; the accounts of upstreams that remain are kept.
+     * Applies newly published upstreams and options; the state of upstreams that remain is kept.
      *
-     * @param newOptions limits, order and choice
+     * @param newOptions limits, queue order and upstream choice
      * @param upstreams the upstreams of the group
      * @param leaving upstreams that get no new work
      */
@@ -71,17 +71,17 @@
                     .update(upstream);
         }
         for (UpstreamSlot slot : slots.values()) {
-            UpstreamId id = slot.facts().id();
+            UpstreamId id = slot.upstream().id();
             slot.setLeaving(leaving.contains(id) || !listed.contains(id));
         }
-        slots.values().removeIf(slot -> !listed.contains(slot.facts().id()) && slot.streams() == 0);
+        slots.values().removeIf(slot -> !listed.contains(slot.upstream().id()) && slot.streams() == 0);
     }
 
     /**
-     * Takes an attempt into the queue, or refuses it at once.
+     * Queues an attempt, or refuses it at once.
      *
      * @param item the attempt
-     * @return {@code null} if it was taken, or why not
+     * @return {@code null} if it was queued, or else the refusal
      */
     public Refusal offer(QueuedAttempt item) {
         AttemptId attempt = item.command().attempt();
@@ -96,7 +96,7 @@
         if (full) {
             return Refusal.notRun(RefusalReason.QUEUE_FULL, Math.round(estimate.queueMillis(item.lengthClass())));
         }
-        Refusal refusal = estimate.judge(item);
+        Refusal refusal = estimate.refusalFor(item);
         if (refusal == null) {
             queue.add(item);
         }
@@ -104,19 +104,19 @@
     }
 
     /**
-     * Starts what can start now.
+     * Starts the attempts that can start now.
      *
      * @return the attempts to start, in order; the scheduler counts them as running from now on
      */
     public List<Assignment> startReady() {
         long now = clock.nanos();
-        Placement placement =
-                new Placement(slots.values(), options, clock.millis(), queue.hasWaiting(LengthClass.SHORT));
+        PlacementRound placement =
+                new PlacementRound(slots.values(), options, clock.millis(), queue.hasWaiting(LengthClass.SHORT));
         List<Assignment> assignments = new ArrayList<>();
         Map<LengthClass, Integer> misses = new EnumMap<>(LengthClass.class);
         List<QueuedAttempt> ordered = queue.ordered(item -> options.order().rate(item, ownPrefillMillis(item), now));
         for (QueuedAttempt item : ordered) {
-            if (misses.getOrDefault(item.lengthClass(), 0) >= MISSES) {
+            if (misses.getOrDefault(item.lengthClass(), 0) >= MAX_MISSES) {
                 continue;
             }
             List<UpstreamSlot> found = placement.find(item);
@@ -144,11 +144,11 @@
         }
         lead.prefixes().add(work.prefixFingerprints());
         running.put(attempt, new Running(item, List.copyOf(found), clock.nanos(), ahead + prefill / engines));
-        return new Assignment(item, found.stream().map(UpstreamSlot::facts).toList());
+        return new Assignment(item, found.stream().map(UpstreamSlot::upstream).toList());
     }
 
     /**
-     * Notes the first piece of an answer.
+     * Records the first token of an answer.
      *
      * @param attempt the attempt
      */
@@ -160,11 +160,11 @@
         run.firstTokenNanos = clock.nanos();
         run.slots.forEach(slot -> slot.prefillEnded(attempt));
         double millis = (double) (run.firstTokenNanos - run.startedNanos) / Deadline.NANOS_PER_MILLI;
-        run.slots.get(0).predictor().learnPrefill(run.expectedTokens, millis);
+        run.slots.get(0).predictor().recordPrefill(run.expectedTokens, millis);
     }
 
     /**
-     * Notes a whole answer.
+     * Records a complete answer.
      *
      * @param attempt the attempt
      * @param answerTokens tokens that this attempt produced
@@ -179,16 +179,16 @@
         lead.health().succeeded();
         double millis = (double) (clock.nanos() - run.firstTokenNanos) / Deadline.NANOS_PER_MILLI;
         if (run.firstTokenNanos != 0 && run.item.memoryTokens() > 0) {
-            lead.predictor().learnDecode(answerTokens - 1, millis);
-            estimate.learnAnswerLength(run.item, answerTokens);
+            lead.predictor().recordDecode(answerTokens - 1, millis);
+            estimate.recordAnswerLength(run.item, answerTokens);
         }
     }
 
     /**
-     * Notes the end of an attempt without a whole answer.
+     * Records the end of an attempt without a complete answer.
      *
      * @param attempt the attempt
-     * @param upstreamFault whether the upstream is to blame
+     * @param upstreamFault whether the upstream caused the failure
      */
     public void failed(AttemptId attempt, boolean upstreamFault) {
         Running run = running.remove(attempt);
@@ -200,17 +200,20 @@
         if (upstreamFault) {
             lead.prefixes().correct(run.item.command().work().prefixFingerprints(), 0);
         }
-        if (upstreamFault && mayTakeOut(lead)) {
+        if (upstreamFault && mayEject(lead)) {
             lead.health().failed(clock.millis());
         }
     }
 
-    /** Not more than half of a group is out of use, as a fault of the work or the network would take out all. */
-    private boolean mayTakeOut(UpstreamSlot slot) {
-        long out = slots.values().stream()
-                .filter(s -> s != slot && s.health().isOut())
+    /**
+     * Tells whether an upstream may be ejected. At most half of a group is, as otherwise a fault of the work or the
+     * network would eject the whole group.
+     */
+    private boolean mayEject(UpstreamSlot slot) {
+        long ejected = slots.values().stream()
+                .filter(s -> s != slot && s.health().isEjected())
                 .count();
-        return slot.health().isOut() || (out + 1) * 2 <= Math.max(2, slots.size());
+        return slot.health().isEjected() || (ejected + 1) * 2 <= Math.max(2, slots.size());
     }
 
     /**
@@ -224,18 +227,18 @@
     }
 
     /**
-     * Removes what can no longer end in time, so that its caller is told at once.
+     * Removes attempts that can no longer finish in time, so that their callers get a reply at once.
      *
      * @return the attempts removed
      */
     public List<QueuedAttempt> expire() {
-        List<QueuedAttempt> expired = queue.matching(item -> estimate.isHopeless(item));
+        List<QueuedAttempt> expired = queue.matching(item -> estimate.cannotFinishInTime(item));
         expired.forEach(item -> queue.remove(item.command().attempt()));
         return expired;
     }
 
     /**
-     * Marks one upstream as leaving by its own word.
+     * Marks an upstream as leaving because it announced this itself.
      *
      * @param upstream the upstream
      */
@@ -247,7 +250,7 @@
     }
 
     /**
-     * Returns the load that callers of this group are told.
+     * Returns the load that is reported to the callers of this group.
      *
      * @return the load
      */
@@ -255,7 +258,7 @@
         long now = clock.millis();
         int live = (int) slots.values().stream()
                 .filter(slot -> !slot.isLeaving()
-                        && (!slot.health().isOut() || slot.health().takesWork(now, 0)))
+                        && (!slot.health().isEjected() || slot.health().acceptsWork(now, 0)))
                 .count();
         return new GroupLoad(
                 group,
@@ -265,23 +268,23 @@
     }
 
     /**
-     * Lists what operators see of the upstreams.
+     * Lists the status of the upstreams for operators.
      *
-     * @return a line for each upstream
+     * @return an entry for each upstream
      */
     public List<UpstreamStatus> status() {
         return slots.values().stream()
                 .map(s -> new UpstreamStatus(
-                        s.facts().id(),
+                        s.upstream().id(),
                         s.streams(),
                         s.heldTokens(),
                         s.isLeaving(),
-                        s.health().isOut()))
+                        s.health().isEjected()))
                 .toList();
     }
 
     /**
-     * Returns how many attempts wait.
+     * Returns the number of waiting attempts.
      *
      * @return the length of the queue
      */
@@ -290,7 +293,7 @@
     }
 
     /**
-     * Returns how many attempts run.
+     * Returns the number of running attempts.
      *
      * @return the number
      */
@@ -298,12 +301,12 @@
         return running.size();
     }
 
-    /** Predicts the prefill of an attempt on an engine of the group that is idle. */
+    /** Predicts the prefill of an attempt on an idle engine of the group. */
     private double ownPrefillMillis(QueuedAttempt item) {
         return estimate.ownPrefillMillis(item);
     }
 
-    /** An attempt that runs. */
+    /** A running attempt. */
     private static final class Running {
         private final QueuedAttempt item;
         private final List<UpstreamSlot> slots;
@@ -311,7 +314,7 @@
         private final long expectedTokens;
         private long firstTokenNanos;
 
-        /** Creates the account of a started attempt. */
+        /** Creates the state of a started attempt. */
         private Running(QueuedAttempt item, List<UpstreamSlot> slots, long startedNanos, long expectedTokens) {
             this.item = item;
             this.slots = slots;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Placement.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/PlacementRound.java
@@ -11,31 +11,35 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Finds the upstreams for one attempt: one with room, or several of the group at once for a prompt beyond the
- * memory of one engine.
+ * Finds the upstreams for each attempt in one scheduling round: one with enough free memory, or several of the group
+ * at once for a prompt that exceeds the memory of one engine.
  *
- * <p>All engines of an attempt are taken in one step by the one owner of the group. No attempt holds some engines
- * while it waits for others, so there is no deadlock. An attempt that came first in the queue and found no room
- * <em>claims</em> the engines with the most room: later long prompts are kept off them until it starts, so it
+ * <p>All engines of an attempt are assigned in one step by the single owner of the group. No attempt holds some
+ * engines while it waits for others, so there is no deadlock. The first attempt of the queue that does not fit
+ * <em>claims</em> the engines with the most free memory: later long prompts are kept off them until it starts, so it
  * cannot starve.
  */
-final class Placement {
+final class PlacementRound {
 
-    /** Prefill tokens that an engine is given ahead, so that it never idles and the queue still decides. */
-    private static final long WINDOW_TOKENS = 8_192;
+    /**
+     * Maximum outstanding prefill tokens of an engine before it gets no more work: enough that it never idles, while
+     * later choices are still left to the queue.
+     */
+    private static final long PREFILL_WINDOW_TOKENS = 8_192;
 
     private final Collection<UpstreamSlot> slots;
     private final SchedulerOptions options;
     private final long nowMillis;
-    private final boolean shortsWait;
+    private final boolean shortPromptsWaiting;
     private final Set<UpstreamId> claimed = new HashSet<>();
 
-    /** Starts one round of placements. */
-    Placement(Collection<UpstreamSlot> slots, SchedulerOptions options, long nowMillis, boolean shortsWait) {
+    /** Starts a scheduling round. */
+    PlacementRound(
+            Collection<UpstreamSlot> slots, SchedulerOptions options, long nowMillis, boolean shortPromptsWaiting) {
         this.slots = slots;
         this.options = options;
         this.nowMillis = nowMillis;
-        this.shortsWait = shortsWait;
+        this.shortPromptsWaiting = shortPromptsWaiting;
     }
 
     /** Finds upstreams for an attempt; empty if it has to wait. */
@@ -60,8 +64,9 @@
     }
 
     /**
-     * Returns how many engines an attempt needs together: the fewest on which it leaves the share of short prompts
-     * free. Returns 0 if the usable engines of the group cannot hold it even when they are empty.
+     * Returns how many engines an attempt needs together: the fewest that can hold it without the share of memory that
+     * is reserved for short prompts. Returns 0 if the usable engines of the group cannot hold it even when they are
+     * empty.
      */
     private int enginesNeeded(QueuedAttempt item) {
         if (item.lengthClass() == LengthClass.SHORT || item.memoryTokens() == 0) {
@@ -69,8 +74,8 @@
         }
         List<Long> capacities = slots.stream()
                 .filter(slot -> !slot.isLeaving()
-                        && !item.command().excluded().contains(slot.facts().id()))
-                .map(slot -> slot.longerCapacity(options.shortShare()))
+                        && !item.command().excluded().contains(slot.upstream().id()))
+                .map(slot -> slot.nonShortCapacity(options.shortShare()))
                 .sorted(Comparator.reverseOrder())
                 .toList();
         for (int engines = 1; engines <= capacities.size(); engines++) {
@@ -84,44 +89,47 @@
     /** Tells whether an upstream may get a share of an attempt now. */
     private boolean fits(UpstreamSlot slot, QueuedAttempt item, long share) {
         LengthClass lengthClass = item.lengthClass();
-        if (!slot.takesWork(nowMillis)
-                || item.command().excluded().contains(slot.facts().id())) {
+        if (!slot.acceptsWork(nowMillis)
+                || item.command().excluded().contains(slot.upstream().id())) {
             return false;
         }
-        if (lengthClass != LengthClass.SHORT && claimed.contains(slot.facts().id())) {
+        if (lengthClass != LengthClass.SHORT && claimed.contains(slot.upstream().id())) {
             return false;
         }
         if (lengthClass == LengthClass.LONG && !mayPrefillLong(slot)) {
             return false;
         }
-        boolean windowOpen = slot.outstandingBefore(lengthClass) < WINDOW_TOKENS;
-        return windowOpen && share <= slot.room(lengthClass, options.shortShare());
+        boolean windowOpen = slot.outstandingBefore(lengthClass) < PREFILL_WINDOW_TOKENS;
+        return windowOpen && share <= slot.freeTokens(lengthClass, options.shortShare());
     }
 
-    /** One long prefill an engine; while short prompts wait, some engines are kept free of long prefills. */
+    /**
+     * Tells whether an engine may start a long prefill. Each engine runs one at a time; while short prompts wait, some
+     * engines are kept free of long prefills.
+     */
     private boolean mayPrefillLong(UpstreamSlot slot) {
         if (slot.isPrefillingLong()) {
             return false;
         }
-        if (!shortsWait) {
+        if (!shortPromptsWaiting) {
             return true;
         }
         long prefilling = slots.stream().filter(UpstreamSlot::isPrefillingLong).count();
         return prefilling < Math.max(1, Math.floor(slots.size() * (1 - options.shortShare())));
     }
 
-    /** Keeps later long prompts off the engines that will have room first for this one. */
+    /** Keeps later long prompts off the engines that will have enough free memory for this one first. */
     private void claim(QueuedAttempt item, int engines, long share) {
         if (item.lengthClass() == LengthClass.SHORT || !claimed.isEmpty()) {
             return;
         }
         slots.stream()
                 .filter(slot -> !slot.isLeaving()
-                        && !item.command().excluded().contains(slot.facts().id()))
-                .filter(slot -> slot.longerCapacity(options.shortShare()) >= share)
-                .sorted(Comparator.comparingLong(slot -> -slot.room(item.lengthClass(), options.shortShare())))
+                        && !item.command().excluded().contains(slot.upstream().id()))
+                .filter(slot -> slot.nonShortCapacity(options.shortShare()) >= share)
+                .sorted(Comparator.comparingLong(slot -> -slot.freeTokens(item.lengthClass(), options.shortShare())))
                 .limit(engines)
-                .forEach(slot -> claimed.add(slot.facts().id()));
+                .forEach(slot -> claimed.add(slot.upstream().id()));
     }
 
     /** Divides and rounds up. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/UpstreamHealth.java
@@ -1,43 +1,41 @@
 package org.apricotstack.core.dispatch;
 
 /**
- * Takes an upstream out of use after failures in a row, and back by a single request at a time.
+ * Outlier ejection of an upstream: ejects it after consecutive failures and readmits it with a single trial request.
  *
- * <p>A dead engine answers its failures faster than a sound one answers requests, so a choice by least load would
- * send it everything. The time out of use doubles up to a bound.
+ * <p>A dead engine returns failures faster than a healthy one answers requests, so a choice by least load would send
+ * it everything. The ejection time doubles up to a maximum.
  */
 public final class UpstreamHealth {
 
-    /** Failures in a row that take an upstream out of use. */
-    static final int FAILURES = 2;
+    /** Consecutive failures that eject an upstream. */
+    static final int EJECTION_FAILURES = 2;
 
-    /** First time out of use, in milliseconds. */
-    static final long FIRST_OUT_MILLIS = 1_000;
+    /** First ejection time, in milliseconds. */
+    static final long BASE_EJECTION_MILLIS = 1_000;
 
-    /** Longest time out of use, in milliseconds. */
-    static final long LONGEST_OUT_MILLIS = 16_000;
+    /** Maximum ejection time, in milliseconds. */
+    static final long MAX_EJECTION_MILLIS = 16_000;
 
     private int failures;
-    private long outUntilMillis = Long.MIN_VALUE;
+    private long ejectedUntilMillis = Long.MIN_VALUE;
 
-    /**
-     * Notes an attempt that ended well.
-     */
+    /** Records a successful attempt. */
     void succeeded() {
         failures = 0;
-        outUntilMillis = Long.MIN_VALUE;
+        ejectedUntilMillis = Long.MIN_VALUE;
     }
 
     /**
-     * Notes a failed attempt.
+     * Records a failed attempt.
      *
      * @param nowMillis the local clock
      */
     void failed(long nowMillis) {
         failures++;
-        if (failures >= FAILURES) {
-            int doublings = Math.min(failures - FAILURES, 10);
-            outUntilMillis = nowMillis + Math.min(LONGEST_OUT_MILLIS, FIRST_OUT_MILLIS << doublings);
+        if (failures >= EJECTION_FAILURES) {
+            int doublings = Math.min(failures - EJECTION_FAILURES, 10);
+            ejectedUntilMillis = nowMillis + Math.min(MAX_EJECTION_MILLIS, BASE_EJECTION_MILLIS << doublings);
         }
     }
 
@@ -46,21 +44,21 @@
      *
      * @param nowMillis the local clock
      * @param streams streams that it runs
-     * @return whether it is sound, or due for its one trial
+     * @return whether it is healthy, or due for its trial request
      */
-    boolean takesWork(long nowMillis, int streams) {
-        if (failures < FAILURES) {
+    boolean acceptsWork(long nowMillis, int streams) {
+        if (failures < EJECTION_FAILURES) {
             return true;
         }
-        return nowMillis >= outUntilMillis && streams == 0;
+        return nowMillis >= ejectedUntilMillis && streams == 0;
     }
 
     /**
-     * Tells whether the upstream is out of use.
+     * Tells whether the upstream is ejected.
      *
-     * @return whether it has failed too often in a row
+     * @return whether it has had too many consecutive failures
      */
-    boolean isOut() {
-        return failures >= FAILURES;
+    boolean isEjected() {
+        return failures >= EJECTION_FAILURES;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineLoadTable.java
@@ -11,44 +11,45 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * What this router believes that all engines are doing: its own placements and those that peers told of.
+ * The load of all engines as this router knows it: its own placements and those that other routers reported.
  *
- * <p>News of a placement that ends may be lost with the peer that would have sent it. Placements of a process that is
- * gone are taken off together ({@link #removeProcess}), and any is taken off after its time limit ({@link #expire}).
+ * <p>The report that a placement has ended may be lost if the router that would send it dies. All placements of a dead
+ * process are removed together ({@link #removeProcess}), and each placement expires after its time limit ({@link
+ * #expire}).
  */
 public final class EngineLoadTable {
 
     private final Map<UpstreamId, EngineLoad> loads = new HashMap<>();
-    private final Map<PlacementId, Placed> placements = new HashMap<>();
+    private final Map<PlacementId, TrackedPlacement> placements = new HashMap<>();
 
     /**
-     * A placement and the time at which it is over in any case.
+     * A placement and the time at which it expires.
      *
      * @param placement the placement
-     * @param endMillis the time
+     * @param expiryMillis the time
      */
-    private record Placed(EnginePlacement placement, long endMillis) {}
+    private record TrackedPlacement(EnginePlacement placement, long expiryMillis) {}
 
     /**
      * Returns the load of one engine.
      *
      * @param engine the engine
-     * @return its load, which changes with the board
+     * @return its load; a live object that later calls update
      */
     public EngineLoad load(UpstreamId engine) {
         return loads.computeIfAbsent(engine, id -> new EngineLoad());
     }
 
     /**
-     * Adds a placement; one that is known already is left as it is.
+     * Adds a placement; does nothing if it is already known.
      *
      * @param placement the placement
-     * @param nowMillis the time
-     * @param limitMillis longest time that the request may still take, in milliseconds
+     * @param nowMillis the current time
+     * @param limitMillis maximum time that the request may still take, in milliseconds
      * @return whether it was not known
      */
     public boolean place(EnginePlacement placement, long nowMillis, long limitMillis) {
-        if (placements.putIfAbsent(placement.id(), new Placed(placement, nowMillis + limitMillis)) != null) {
+        if (placements.putIfAbsent(placement.id(), new TrackedPlacement(placement, nowMillis + limitMillis)) != null) {
             return false;
         }
         for (EnginePart part : placement.parts()) {
@@ -58,27 +59,27 @@
     }
 
     /**
-     * Notes that the prompt of a placement was read and its answer is being written.
+     * Records that the prefill of a placement has completed and its answer is being decoded.
      *
      * @param id the placement
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void startDecoding(PlacementId id, long nowMillis) {
-        Placed placed = placements.get(id);
+        TrackedPlacement placed = placements.get(id);
         if (placed != null) {
             placed.placement().parts().forEach(part -> load(part.engine()).startDecoding(id, nowMillis));
         }
     }
 
     /**
-     * Predicts when all engines of a placement will have read their parts.
+     * Predicts when all engines of a placement will have completed their prefill.
      *
      * @param id the placement
-     * @param nowMillis the time
-     * @return milliseconds from now; 0 if they have read them, or the placement is not known
+     * @param nowMillis the current time
+     * @return milliseconds from now; 0 if the prefill is done or the placement is not known
      */
     public double remainingPrefillMillis(PlacementId id, long nowMillis) {
-        Placed placed = placements.get(id);
+        TrackedPlacement placed = placements.get(id);
         if (placed == null) {
             return 0;
         }
@@ -89,43 +90,43 @@
     }
 
     /**
-     * Takes a placement off.
+     * Removes a placement.
      *
      * @param id the placement
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void remove(PlacementId id, long nowMillis) {
-        Placed placed = placements.remove(id);
+        TrackedPlacement placed = placements.remove(id);
         if (placed != null) {
             placed.placement().parts().forEach(part -> load(part.engine()).remove(id, nowMillis));
         }
     }
 
     /**
-     * Takes off all placements of a router process that is gone.
+     * Removes all placements of a router process that is dead.
      *
      * @param process the process
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void removeProcess(ProcessId process, long nowMillis) {
-        List<PlacementId> gone = new ArrayList<>();
+        List<PlacementId> removed = new ArrayList<>();
         for (PlacementId id : placements.keySet()) {
             if (id.process().equals(process)) {
-                gone.add(id);
+                removed.add(id);
             }
         }
-        for (PlacementId id : gone) {
-            Placed placed = placements.remove(id);
+        for (PlacementId id : removed) {
+            TrackedPlacement placed = placements.remove(id);
             placed.placement().parts().forEach(part -> load(part.engine()).orphan(id, nowMillis));
         }
     }
 
     /**
-     * Takes off placements of a router process that it no longer has, as news of their ends were lost.
+     * Removes placements that a router process no longer has, because the reports that they ended were lost.
      *
      * @param process the process
-     * @param open all that it still has
-     * @param nowMillis the time
+     * @param open all placements that the process still has
+     * @param nowMillis the current time
      */
     public void retainInFlight(ProcessId process, Set<PlacementId> open, long nowMillis) {
         List<PlacementId> ended = placements.keySet().stream()
@@ -135,33 +136,33 @@
     }
 
     /**
-     * Takes off placements whose time limit has passed.
+     * Removes placements whose time limit has passed.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void expire(long nowMillis) {
-        List<PlacementId> over = new ArrayList<>();
+        List<PlacementId> expired = new ArrayList<>();
         placements.forEach((id, placed) -> {
-            if (placed.endMillis() < nowMillis) {
-                over.add(id);
+            if (placed.expiryMillis() < nowMillis) {
+                expired.add(id);
             }
         });
-        over.forEach(id -> remove(id, nowMillis));
+        expired.forEach(id -> remove(id, nowMillis));
     }
 
     /**
-     * Forgets engines that are no longer listed and run nothing.
+     * Removes engines that are no longer listed and run nothing.
      *
-     * @param listed tells which starts of engines are listed
+     * @param listed tells whether an incarnation of an engine is listed
      */
     public void retain(Predicate<UpstreamId> listed) {
         loads.entrySet()
-                .removeIf(
-                        one -> one.getValue().leadCount() + one.getValue().helps() == 0 && !listed.test(one.getKey()));
+                .removeIf(one ->
+                        one.getValue().leadCount() + one.getValue().helperCount() == 0 && !listed.test(one.getKey()));
     }
 
     /**
-     * Returns how many placements are known.
+     * Returns the number of known placements.
      *
      * @return placements
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineProfile.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/EngineProfile.java
@@ -1,28 +1,32 @@
 package org.apricotstack.core.engine;
 
 /**
- * Published figures of the engines of one service.
+ * Published performance figures of the engines of one service.
+ *
+ * <p>A batch step consists of several decode steps, at whose end each decoding request gets one event.
  *
  * @param slots requests that one engine runs at once
  * @param memoryTokens tokens that its memory holds
- * @param strideSteps steps of a pass in which some request is writing
- * @param stepMillis duration of a step without work, in milliseconds
- * @param perWriterMillis what each writing request adds to a step, in milliseconds
- * @param contextPerThousandMillis what a thousand tokens of writing requests' contexts add to a step, in milliseconds
- * @param readTokensPerMilli prompt tokens read in a millisecond
- * @param pairsPerMillionMillis time for a million pairs of a prompt token and an earlier one, in milliseconds
- * @param chunkTokens prompt tokens read in one step, at most
+ * @param decodeStepsPerBatchStep decode steps in a batch step
+ * @param decodeStepMillis duration of a decode step without work, in milliseconds
+ * @param perSequenceMillis time that each decoding request adds to a decode step, in milliseconds
+ * @param contextMillisPerThousand time that a thousand context tokens of decoding requests add to a decode step, in
+ *     milliseconds
+ * @param prefillTokensPerMilli prompt tokens prefilled in a millisecond
+ * @param attentionMillisPerMillionPairs prefill time for a million pairs of a prompt token and an earlier one, in
+ *     milliseconds
+ * @param chunkTokens maximum number of prompt tokens prefilled in one decode step
  * @param meanAnswerTokens mean length of an answer, in tokens
  */
 public record EngineProfile(
         int slots,
         long memoryTokens,
-        int strideSteps,
-        double stepMillis,
-        double perWriterMillis,
-        double contextPerThousandMillis,
-        double readTokensPerMilli,
-        double pairsPerMillionMillis,
+        int decodeStepsPerBatchStep,
+        double decodeStepMillis,
+        double perSequenceMillis,
+        double contextMillisPerThousand,
+        double prefillTokensPerMilli,
+        double attentionMillisPerMillionPairs,
         int chunkTokens,
         long meanAnswerTokens) {
 
@@ -30,32 +34,35 @@
     private static final double PAIRS_PER_MILLION = 1e6;
 
     /**
-     * Predicts how long reading a prompt takes, if nothing else is read.
+     * Predicts the prefill time of a prompt if the engine prefills nothing else.
      *
      * @param promptTokens tokens of the prompt
-     * @param parts engines that share the reading evenly; 1 or more
-     * @return milliseconds that each of them reads
+     * @param parts engines that share the prefill evenly; 1 or more
+     * @return milliseconds of prefill on each of them
      */
     public double prefillMillis(long promptTokens, int parts) {
         double pairs = (double) promptTokens * promptTokens / 2;
-        double steps = (double) promptTokens / Math.max(1, chunkTokens) * stepMillis;
-        return (promptTokens / readTokensPerMilli + pairs / PAIRS_PER_MILLION * pairsPerMillionMillis + steps) / parts;
+        double steps = (double) promptTokens / Math.max(1, chunkTokens) * decodeStepMillis;
+        return (promptTokens / prefillTokensPerMilli
+                        + pairs / PAIRS_PER_MILLION * attentionMillisPerMillionPairs
+                        + steps)
+                / parts;
     }
 
     /**
-     * Predicts how long a pass without reading takes.
+     * Predicts the duration of a batch step without prefill.
      *
-     * @param writers requests that are writing
-     * @param contextTokens tokens of their contexts together
-     * @return milliseconds; 0 if nothing is written
+     * @param decodingRequests requests that are decoding
+     * @param contextTokens total tokens of their contexts
+     * @return milliseconds; 0 if no request is decoding
      */
-    public double passMillis(int writers, long contextTokens) {
-        if (writers == 0) {
+    public double batchStepMillis(int decodingRequests, long contextTokens) {
+        if (decodingRequests == 0) {
             return 0;
         }
-        return strideSteps
-                * (stepMillis
-                        + writers * perWriterMillis
-                        + contextTokens / TOKENS_PER_THOUSAND * contextPerThousandMillis);
+        return decodeStepsPerBatchStep
+                * (decodeStepMillis
+                        + decodingRequests * perSequenceMillis
+                        + contextTokens / TOKENS_PER_THOUSAND * contextMillisPerThousand);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
@@ -6,48 +6,48 @@
 import java.util.Map;
 
 /**
- * The placements of this router that have not ended, as a router that did not hear of them has to learn them.
+ * The placements of this router that have not ended, for routers that missed the reports of them.
  *
- * <p>A router that has just started, or was cut off for a while, has an empty board and would send prompts to engines
- * that are full. It is told of the open placements when a stream of news to it opens.
+ * <p>A router that has just started, or was disconnected for a while, has an empty load table and would send prompts
+ * to full engines. It receives the in-flight placements when a gossip stream to it opens.
  */
 public final class InFlightPlacements {
 
-    private final Map<PlacementId, Placed> placed = new LinkedHashMap<>();
+    private final Map<PlacementId, TrackedPlacement> placed = new LinkedHashMap<>();
 
     /**
      * A placement that has not ended.
      *
-     * @param placement the placement; its parts hold what is left to read
-     * @param limitMillis longest time that the request may still take, in milliseconds
-     * @param decoding whether its answer is being written
+     * @param placement the placement; its parts hold the remaining prefill
+     * @param limitMillis maximum time that the request may still take, in milliseconds
+     * @param decoding whether its answer is being decoded
      */
     public record Entry(EnginePlacement placement, long limitMillis, boolean decoding) {}
 
     /**
-     * A placement as it was made.
+     * A placement with the figures of the time at which it was made.
      *
      * @param placement the placement
      * @param atMillis when it was made
-     * @param limitMillis longest time that the request might take then, in milliseconds
-     * @param writing whether its answer is being written
+     * @param limitMillis maximum time that the request might take then, in milliseconds
+     * @param decoding whether its answer is being decoded
      */
-    private record Placed(EnginePlacement placement, long atMillis, long limitMillis, boolean writing) {
+    private record TrackedPlacement(EnginePlacement placement, long atMillis, long limitMillis, boolean decoding) {
 
-        /** Returns what is left of it. */
-        private Entry open(long nowMillis) {
+        /** Returns the placement with its remaining prefill and time. */
+        private Entry remainingAt(long nowMillis) {
             long elapsed = nowMillis - atMillis;
-            List<EnginePart> left = placement.parts().stream()
+            List<EnginePart> remaining = placement.parts().stream()
                     .map(part -> new EnginePart(
                             part.engine(), Math.max(0, part.prefillMillis() - elapsed), part.memoryTokens()))
                     .toList();
-            EnginePlacement rest = new EnginePlacement(
+            EnginePlacement remainingPlacement = new EnginePlacement(
                     placement.id(),
-                    left,
+                    remaining,
                     placement.contextTokens(),
                     Math.max(1, placement.targetLatencyMillis() - elapsed),
                     placement.tokenGapTargetMillis());
-            return new Entry(rest, limitMillis - elapsed, writing);
+            return new Entry(remainingPlacement, limitMillis - elapsed, decoding);
         }
     }
 
@@ -55,25 +55,25 @@
      * Adds a placement.
      *
      * @param placement the placement
-     * @param limitMillis longest time that the request may take, in milliseconds
-     * @param nowMillis the time
+     * @param limitMillis maximum time that the request may take, in milliseconds
+     * @param nowMillis the current time
      */
     public void place(EnginePlacement placement, long limitMillis, long nowMillis) {
-        placed.put(placement.id(), new Placed(placement, nowMillis, limitMillis, false));
+        placed.put(placement.id(), new TrackedPlacement(placement, nowMillis, limitMillis, false));
     }
 
     /**
-     * Notes that the answer to a placement is being written.
+     * Records that the answer of a placement is being decoded.
      *
      * @param id the placement
      */
     public void startDecoding(PlacementId id) {
         placed.computeIfPresent(
-                id, (same, one) -> new Placed(one.placement(), one.atMillis(), one.limitMillis(), true));
+                id, (same, one) -> new TrackedPlacement(one.placement(), one.atMillis(), one.limitMillis(), true));
     }
 
     /**
-     * Takes a placement off.
+     * Removes a placement.
      *
      * @param id the placement
      */
@@ -82,17 +82,17 @@
     }
 
     /**
-     * Lists the placements that have not ended and whose time is not over.
+     * Lists the placements that have neither ended nor passed their time limit.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return the placements in the order in which they were made
      */
     public List<Entry> at(long nowMillis) {
         List<Entry> open = new ArrayList<>(placed.size());
-        for (Placed one : placed.values()) {
-            Entry left = one.open(nowMillis);
-            if (left.limitMillis() > 0) {
-                open.add(left);
+        for (TrackedPlacement one : placed.values()) {
+            Entry remaining = one.remainingAt(nowMillis);
+            if (remaining.limitMillis() > 0) {
+                open.add(remaining);
             }
         }
         return open;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
@@ -38,7 +38,7 @@
     private int requests;
 
     @BeforeEach
-    void startWithFourEngines() {
+    void registerFourEngines() {
         scheduler.update(options, engines(4), Set.of());
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void takesAllEnginesOfAPromptInOneStep() {
+    void assignsAllEnginesOfAPromptAtOnce() {
         QueuedAttempt item = item(200_000, 60_000);
         assertThat(scheduler.offer(item)).isNull();
         List<Assignment> started = scheduler.startReady();
@@ -74,16 +74,13 @@
     }
 
     /**
-     * Symptom: prompts beyond one engine wait for each other for good, or one of them is passed over for good.
-     *
-     * <p>Sequence of events: several such prompts and a flow of medium ones, which end in random order.
-     *
-     * <p>Cause to be excluded: holding some engines while waiting for others, and later prompts taking each engine
-     * that becomes free.
+     * Several prompts that exceed one engine run beside a flow of medium ones that end in random order. If a prompt
+     * held some engines while waiting for others, such prompts would wait for each other forever; if later prompts
+     * took each engine that becomes free, one of them would never start.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void startsEveryLongPromptInTheEnd(long seed) {
+    void startsEveryLongPromptEventually(long seed) {
         Random random = new Random(seed);
         List<AttemptId> running = new ArrayList<>();
         Set<AttemptId> longOnes = new HashSet<>();
@@ -111,14 +108,12 @@
     }
 
     /**
-     * Symptom: short prompts wait although engines have room for them.
-     *
-     * <p>Sequence of events: dozens of longer prompts wait for room and come first by their waiting time.
-     *
-     * <p>Cause: a round gave up after a number of failed placements, before it came to the short ones.
+     * Dozens of longer prompts wait for free memory and are rated first because of their waiting time. When a round
+     * stopped after a number of failed placements over all classes, short prompts waited although engines had memory
+     * for them.
      */
     @Test
-    void keepsAShareOfMemoryForShortPrompts() {
+    void reservesAShareOfMemoryForShortPrompts() {
         for (int i = 0; i < 40; i++) {
             scheduler.offer(item(50_000, 60_000));
         }
@@ -136,7 +131,7 @@
     }
 
     @Test
-    void putsAShortPromptBeforeLongOnesThatCameEarlier() {
+    void startsAShortPromptBeforeLongOnesThatArrivedEarlier() {
         for (int i = 0; i < 8; i++) {
             scheduler.offer(item(70_000, 60_000));
         }
@@ -150,7 +145,7 @@
     }
 
     @Test
-    void refusesAtOnceWhatCannotEndInTimeButOnlyOnceItHasLearned() {
+    void refusesWhatCannotFinishInTimeOnceItHasEnoughSamples() {
         assertThat(scheduler.offer(item(90_000, 10))).isNull();
         scheduler.cancelWaiting(new AttemptId(new RequestId("r0"), 1));
         for (int i = 0; i < 40; i++) {
@@ -168,7 +163,7 @@
     }
 
     @Test
-    void takesNoSecondCopyOfAnAttempt() {
+    void refusesADuplicateAttempt() {
         QueuedAttempt item = item(1_000, 60_000);
         scheduler.offer(item);
         assertThat(scheduler.offer(item).reason()).isEqualTo(RefusalReason.DUPLICATE_ATTEMPT);
@@ -177,7 +172,7 @@
     }
 
     @Test
-    void takesFailingEnginesOutButNeverMoreThanHalf() {
+    void ejectsFailingEnginesButNeverMoreThanHalf() {
         for (int i = 0; i < 40; i++) {
             QueuedAttempt item = item(1_000, 60_000);
             scheduler.offer(item);
@@ -188,7 +183,7 @@
     }
 
     @Test
-    void forgetsAnEngineThatWasRemovedOnceItsWorkHasEnded() {
+    void dropsARemovedEngineOnceItsWorkHasEnded() {
         QueuedAttempt item = item(1_000, 60_000);
         scheduler.offer(item);
         scheduler.startReady();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/EngineTestData.java
@@ -7,7 +7,7 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Engines with round figures: 200 tokens a millisecond, 50 ms a pass, and no pairs. */
+/** Engines with round figures: 200 prompt tokens a millisecond, batch steps of 50 ms, and no attention cost. */
 final class EngineTestData {
 
     static final ProcessId HERE = new ProcessId(new HostId("here"), 1);
@@ -22,35 +22,35 @@
         return new UpstreamId("engine-" + (char) ('a' + number));
     }
 
-    /** Makes a placement whose reading is shared evenly by some engines. */
+    /** Makes a placement whose prefill is shared evenly by some engines. */
     static EnginePlacement placement(long tokens, int... engines) {
         List<EnginePart> parts = new ArrayList<>();
         for (int engine : engines) {
             parts.add(new EnginePart(
                     engine(engine), PROFILE.prefillMillis(tokens, engines.length), parts.isEmpty() ? tokens : 0));
         }
-        long pause = tokens <= PromptValue.SHORT_TOKENS ? 250 : 1_000;
+        long tokenGapTarget = tokens <= PromptValue.SHORT_TOKENS ? 250 : 1_000;
         return new EnginePlacement(
                 new PlacementId(HERE, ++numbers),
                 parts,
                 tokens,
                 tokens <= PromptValue.SHORT_TOKENS ? 300 : 3_000,
-                pause);
+                tokenGapTarget);
     }
 
-    /** Makes a board of idle engines. */
-    static EngineLoadTable board(int engines) {
-        EngineLoadTable board = new EngineLoadTable();
+    /** Makes a load table of idle engines. */
+    static EngineLoadTable loadTable(int engines) {
+        EngineLoadTable loadTable = new EngineLoadTable();
         for (int i = 0; i < engines; i++) {
-            board.load(engine(i)).profile(PROFILE);
+            loadTable.load(engine(i)).profile(PROFILE);
         }
-        return board;
+        return loadTable;
     }
 
-    static List<EngineCandidate> candidates(EngineLoadTable board, int engines) {
+    static List<EngineCandidate> candidates(EngineLoadTable loadTable, int engines) {
         List<EngineCandidate> candidates = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            candidates.add(new EngineCandidate(engine(i), board.load(engine(i)), 0, true));
+            candidates.add(new EngineCandidate(engine(i), loadTable.load(engine(i)), 0, true));
         }
         return candidates;
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/OpenPlacementsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
@@ -9,20 +9,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class OpenPlacementsTest {
+class InFlightPlacementsTest {
 
     private static final UpstreamId ENGINE = new UpstreamId("engine-1");
     private static final ProcessId ROUTER = new ProcessId(new HostId("router-1"), 1);
 
     private final InFlightPlacements open = new InFlightPlacements();
 
-    private static EnginePlacement placement(long number, double readMillis) {
-        EnginePart part = new EnginePart(ENGINE, readMillis, 5_000);
+    private static EnginePlacement placement(long number, double prefillMillis) {
+        EnginePart part = new EnginePart(ENGINE, prefillMillis, 5_000);
         return new EnginePlacement(new PlacementId(ROUTER, number), List.of(part), 5_000, 300, 250);
     }
 
     @Test
-    void tellsWhatIsLeftToReadAndOfTheTime() {
+    void listsTheRemainingPrefillAndTime() {
         open.place(placement(1, 800), 10_000, 0);
         InFlightPlacements.Entry left = open.at(300).get(0);
         assertThat(left.placement().lead().prefillMillis()).isEqualTo(500);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void tellsThatAnAnswerIsBeingWritten() {
+    void listsThatAnAnswerIsBeingDecoded() {
         open.place(placement(1, 100), 10_000, 0);
         open.startDecoding(new PlacementId(ROUTER, 1));
         assertThat(open.at(500)).singleElement().matches(InFlightPlacements.Entry::decoding);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void leavesOutWhatEndedAndWhoseTimeIsOver() {
+    void omitsEndedAndExpiredPlacements() {
         open.place(placement(1, 100), 10_000, 0);
         open.place(placement(2, 100), 400, 0);
         open.place(placement(3, 100), 10_000, 0);
@@ -50,18 +50,18 @@
     }
 
     /**
-     * Symptom: a router that has just started chooses an engine that is full. Sequence: another router's placements are
-     * told to it when a stream opens, and again as they were made. Cause to be excluded: counting them twice, or not.
+     * Another router's placements arrive when a stream opens, and again as they were made. They must count exactly
+     * once, or a router that has just started chooses an engine that is full.
      */
     @Test
-    void fillsTheBoardOfARouterThatDidNotHearOfThem() {
-        EngineLoadTable board = new EngineLoadTable();
+    void fillsTheLoadTableOfARouterThatMissedThem() {
+        EngineLoadTable loadTable = new EngineLoadTable();
         EnginePlacement known = placement(1, 100);
-        board.place(known, 0, 10_000);
+        loadTable.place(known, 0, 10_000);
         open.place(known, 10_000, 0);
         open.place(placement(2, 100), 10_000, 0);
-        open.at(50).forEach(one -> board.place(one.placement(), 50, one.limitMillis()));
-        assertThat(board.size()).isEqualTo(2);
-        assertThat(board.load(ENGINE).leadCount()).isEqualTo(2);
+        open.at(50).forEach(one -> loadTable.place(one.placement(), 50, one.limitMillis()));
+        assertThat(loadTable.size()).isEqualTo(2);
+        assertThat(loadTable.load(ENGINE).leadCount()).isEqualTo(2);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/OwnOrderTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/PerRouterEngineOrderTest.java
@@ -12,12 +12,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class OwnOrderTest {
+class PerRouterEngineOrderTest {
 
     private static final int ENGINES = 23;
     private static final int ROUTERS = 7;
 
-    /** Prompts that one router takes in the half second in which it hears of no other: 152 in all were seen. */
+    /** Prompts that one router takes in the half second in which it knows of no other: 152 in total were observed. */
     private static final int PROMPTS_EACH = 22;
 
     private static final long MILLIS_BETWEEN_PROMPTS = 23;
@@ -31,8 +31,8 @@
     }
 
     @Test
-    void isTheSameForOneProcessAndAnotherForEachOther() {
-        List<EngineCandidate> common = EngineTestData.candidates(EngineTestData.board(ENGINES), ENGINES);
+    void isStableForAProcessAndDifferentForOthers() {
+        List<EngineCandidate> common = EngineTestData.candidates(EngineTestData.loadTable(ENGINES), ENGINES);
         List<UpstreamId> one = engines(PerRouterEngineOrder.of(process(1), common));
         assertThat(one).isEqualTo(engines(PerRouterEngineOrder.of(process(1), common)));
         assertThat(one).containsExactlyInAnyOrderElementsOf(engines(common));
@@ -40,35 +40,35 @@
     }
 
     /**
-     * Symptom: right after all routers had lost power, engines rejected a third of the prompts while most engines were
-     * idle. Sequence: seven routers start with empty boards, take 154 short prompts in half a second, and hear of each
-     * other only then. Cause: each filled the engines in the same order.
+     * Seven routers start with empty load tables, take 154 short prompts in half a second, and learn of each other
+     * only then. When all filled the engines in the same order, engines rejected a third of the prompts while most
+     * engines were idle, right after all routers had lost power.
      */
     @Test
-    void spreadsThePromptsOfRoutersThatDoNotHearOfEachOther() {
+    void spreadsThePromptsOfRoutersThatDoNotKnowEachOther() {
         int slots = EngineTestData.PROFILE.slots();
-        assertThat(mostOnOneEngine(false)).isGreaterThan(4 * slots);
-        assertThat(mostOnOneEngine(true)).isLessThanOrEqualTo(2 * slots);
+        assertThat(maxOnOneEngine(false)).isGreaterThan(4 * slots);
+        assertThat(maxOnOneEngine(true)).isLessThanOrEqualTo(2 * slots);
     }
 
-    /** Plays the half second and returns how many prompts the fullest engine got. */
-    private static int mostOnOneEngine(boolean ownOrder) {
+    /** Simulates the half second and returns how many prompts the fullest engine got. */
+    private static int maxOnOneEngine(boolean ownOrder) {
         Map<UpstreamId, Integer> prompts = new HashMap<>();
         EnginePlacer placer = new EnginePlacer(EngineTestData.PROFILE);
         for (int router = 0; router < ROUTERS; router++) {
-            EngineLoadTable board = EngineTestData.board(ENGINES);
-            List<EngineCandidate> common = EngineTestData.candidates(board, ENGINES);
+            EngineLoadTable loadTable = EngineTestData.loadTable(ENGINES);
+            List<EngineCandidate> common = EngineTestData.candidates(loadTable, ENGINES);
             List<EngineCandidate> order = ownOrder ? PerRouterEngineOrder.of(process(router), common) : common;
-            List<EnginePlacement> reading = new ArrayList<>();
+            List<EnginePlacement> prefill = new ArrayList<>();
             for (int i = 0; i < PROMPTS_EACH; i++) {
                 long now = i * MILLIS_BETWEEN_PROMPTS;
-                reading.forEach(placed -> board.startDecoding(placed.id(), now));
-                reading.clear();
+                prefill.forEach(placed -> loadTable.startDecoding(placed.id(), now));
+                prefill.clear();
                 PlacementChoice choice = placer.choose(EngineTestData.request(4_000), order, now);
                 EnginePlacement placed =
                         new EnginePlacement(new PlacementId(process(router), i), choice.parts(), 4_000, 300, 250);
-                board.place(placed, now, 10_000);
-                reading.add(placed);
+                loadTable.place(placed, now, 10_000);
+                prefill.add(placed);
                 prompts.merge(placed.lead().engine(), 1, Integer::sum);
             }
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/play/Placing.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/simulation/PlacementPolicy.java
@@ -1,4 +1,4 @@
-package org.apricotstack.core.engine.play;
+package org.apricotstack.core.engine.simulation;
 
 import java.util.Comparator;
 import java.util.List;
@@ -7,41 +7,41 @@
 import org.apricotstack.core.engine.EnginePart;
 import org.apricotstack.core.engine.EnginePlacer;
 import org.apricotstack.core.engine.EngineProfile;
-import org.apricotstack.core.engine.PlacementCaution;
 import org.apricotstack.core.engine.PlacementChoice;
+import org.apricotstack.core.engine.PlacementMargins;
 import org.apricotstack.core.engine.PromptAdmission;
 import org.apricotstack.core.engine.PromptRequest;
 
-/** A way of placing prompts that is compared with others. */
+/** A policy for placing prompts that is compared with others. */
 @FunctionalInterface
-interface Placing {
+interface PlacementPolicy {
 
     /** Chooses engines for a prompt. */
     PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis);
 
-    /** Tells whether a prompt that can wait no longer is refused rather than given to the engines chosen. */
+    /** Tells whether a prompt that can wait no longer is refused rather than placed on the chosen engines. */
     default boolean refuses(PlacementChoice choice, long promptTokens) {
         return PromptAdmission.isRefused(choice, promptTokens);
     }
 
-    /** Makes a way for some engines. */
+    /** Creates a policy for given engines. */
     @FunctionalInterface
-    interface Maker {
+    interface Factory {
 
-        /** Makes it. */
-        Placing of(EngineProfile profile);
+        /** Creates the policy. */
+        PlacementPolicy of(EngineProfile profile);
     }
 
-    /** Returns the way that routers use. */
-    static Maker today() {
+    /** Returns the policy that routers use. */
+    static Factory current() {
         return profile -> new EnginePlacer(profile)::choose;
     }
 
-    /** Returns the way that routers use, with other figures of caution, and that refuses nothing that can be placed. */
-    static Maker withoutRefusals(PlacementCaution caution) {
+    /** Returns the policy that routers use, with other margins and without refusals of prompts that can be placed. */
+    static Factory withoutRefusals(PlacementMargins margins) {
         return profile -> {
-            EnginePlacer placer = new EnginePlacer(profile, caution);
-            return new Placing() {
+            EnginePlacer placer = new EnginePlacer(profile, margins);
+            return new PlacementPolicy() {
                 @Override
                 public PlacementChoice choose(PromptRequest request, List<EngineCandidate> candidates, long nowMillis) {
                     return placer.choose(request, candidates, nowMillis);
@@ -55,9 +55,9 @@
         };
     }
 
-    /** Returns the way that gives each prompt whole to the engine that answers fewest. */
-    static Maker leastInFlight() {
-        return profile -> (request, candidates, nowMillis) -> alone(
+    /** Returns the policy that gives each whole prompt to the engine that leads the fewest requests. */
+    static Factory leastInFlight() {
+        return profile -> (request, candidates, nowMillis) -> onOneEngine(
                 profile,
                 request,
                 candidates.stream()
@@ -66,19 +66,20 @@
                         .orElseThrow());
     }
 
-    /** Returns the way that gives prompts whole to the engines in turn. */
-    static Maker inTurn() {
+    /** Returns the policy that gives whole prompts to the engines in turn. */
+    static Factory roundRobin() {
         return profile -> {
             int[] turn = new int[1];
             return (request, candidates, nowMillis) ->
-                    alone(profile, request, candidates.get(turn[0]++ % candidates.size()));
+                    onOneEngine(profile, request, candidates.get(turn[0]++ % candidates.size()));
         };
     }
 
-    private static PlacementChoice alone(EngineProfile profile, PromptRequest request, EngineCandidate candidate) {
-        double readMillis = profile.prefillMillis(request.promptTokens(), 1);
+    private static PlacementChoice onOneEngine(
+            EngineProfile profile, PromptRequest request, EngineCandidate candidate) {
+        double prefillMillis = profile.prefillMillis(request.promptTokens(), 1);
         EnginePart whole =
-                new EnginePart(candidate.engine(), readMillis, request.promptTokens() + request.answerTokens());
-        return new PlacementChoice(List.of(whole), readMillis, 0, 0, 0, false);
+                new EnginePart(candidate.engine(), prefillMillis, request.promptTokens() + request.answerTokens());
+        return new PlacementChoice(List.of(whole), prefillMillis, 0, 0, 0, false);
     }
 }
