--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/DecisionLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/DecisionLog.java
@@ -18,30 +18,31 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 
 /**
- * Writes one JSON object a line for each decision on a request and each change of what the router believes.
+ * Writes one JSON object per line for each decision on a request and each change of the router's state.
  *
- * <p>Lines wait in a bounded queue for a thread that writes them, many at once; when it is full, the oldest are dropped
- * and counted, so that logging never holds a request up.
+ * <p>Lines wait in a bounded queue for a thread that writes them in batches. When the queue is full, the oldest lines
+ * are dropped and counted, so that logging never delays a request.
  */
 public final class DecisionLog implements AutoCloseable {
 
-    /** Lines that may wait; about a megabyte. */
-    private static final int MOST_WAITING = 4_096;
+    /** Maximum number of queued lines; about a megabyte. */
+    private static final int MAX_QUEUED_LINES = 4_096;
 
     /**
-     * Time in which lines are gathered for one write, in milliseconds. Each write wakes a thread and calls the kernel,
-     * and a request makes about five lines; what is lost when a process is killed is no more than these milliseconds.
+     * Time in which lines are gathered for one write, in milliseconds. Each write wakes a thread and makes a system
+     * call, and a request causes about five lines. A killed process loses no more than the lines of this time.
      */
     private static final long GATHER_MILLIS = 20;
 
     /**
-     * Time for the last write of the writing thread, in milliseconds; a stop does not wait for a reader that is gone.
+     * Timeout for the last write of the writer thread, in milliseconds; a stop does not wait for a consumer that no
+     * longer reads.
      */
     private static final long CLOSE_MILLIS = 200;
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
     private final LongSupplier wallClockMillis;
     private final String host;
@@ -49,16 +50,16 @@
     private final Thread writer;
 
     /**
-     * Creates a log to standard output and starts its writing thread.
+     * Creates a log to standard output and starts its writer thread.
      *
-     * @param host name of this host, which each line carries
+     * @param host name of this host, included in each line
      * @param wallClockMillis the time of day, in milliseconds since 1970
      */
     public DecisionLog(String host, LongSupplier wallClockMillis) {
         this(host, wallClockMillis, new FileOutputStream(FileDescriptor.out));
     }
 
-    /** Creates a log and starts its writing thread. */
+    /** Creates a log and starts its writer thread. */
     DecisionLog(String host, LongSupplier wallClockMillis, OutputStream out) {
         this.host = host;
         this.wallClockMillis = wallClockMillis;
@@ -68,11 +69,11 @@
         writer.start();
     }
 
-    /** Writes waiting lines until the log is closed. */
+    /** Writes queued lines until the log is closed. */
     private void writeLines() {
         try {
             while (!Thread.currentThread().isInterrupted()) {
-                String first = waiting.take();
+                String first = queue.take();
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS));
                 write(first);
             }
@@ -81,10 +82,10 @@
         }
     }
 
-    /** Writes a line and all that wait behind it in one piece. */
+    /** Writes a line and all queued ones after it in one write. */
     private void write(String first) {
         StringBuilder text = new StringBuilder(first).append('\n');
-        for (String line = waiting.poll(); line != null; line = waiting.poll()) {
+        for (String line = queue.poll(); line != null; line = queue.poll()) {
             text.append(line).append('\n');
         }
         try {
@@ -93,34 +94,34 @@
                 out.flush();
             }
         } catch (IOException e) {
-            // Nobody reads the output any more; the router goes on, and the counter tells that lines are missing.
+            // The output is closed; the router keeps running, and the counter shows that lines are missing.
             dropped.incrementAndGet();
         }
     }
 
     /**
-     * Begins a line.
+     * Starts a line.
      *
      * @param event what happened, such as {@code placed}
-     * @return takes the fields
+     * @return the line, to which fields are added
      */
     public Line line(String event) {
         return new Line(event);
     }
 
     /**
-     * Begins a line on a request.
+     * Starts a line about a request.
      *
      * @param event what happened, such as {@code placed}
      * @param request the request's id
-     * @return takes the fields
+     * @return the line, to which fields are added
      */
     public Line request(String event, String request) {
         return new Line(event).put("request", request);
     }
 
     /**
-     * Returns how many lines were dropped.
+     * Returns the number of dropped lines.
      *
      * @return lines since the start
      */
@@ -128,7 +129,7 @@
         return dropped.get();
     }
 
-    /** Writes what still waits; called when the process stops. */
+    /** Writes the queued lines; called when the process stops. */
     @Override
     public void close() {
         writer.interrupt();
@@ -137,19 +138,19 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        String first = waiting.poll();
+        String first = queue.poll();
         if (first != null) {
             write(first);
         }
     }
 
-    /** One line that is being written. */
+    /** A log line under construction. */
     public final class Line {
 
         private final StringWriter text = new StringWriter();
         private final JsonGenerator json;
 
-        /** Begins the line. */
+        /** Starts the line. */
         private Line(String event) {
             try {
                 json = JSON.createGenerator(text);
@@ -163,10 +164,10 @@
         }
 
         /**
-         * Adds a text.
+         * Adds a string field.
          *
-         * @param name the field
-         * @param value the text; left out if {@code null}
+         * @param name name of the field
+         * @param value the string; the field is omitted if {@code null}
          * @return this line
          */
         public Line put(String name, String value) {
@@ -181,9 +182,9 @@
         }
 
         /**
-         * Adds a whole number.
+         * Adds an integer field.
          *
-         * @param name the field
+         * @param name name of the field
          * @param value the number
          * @return this line
          */
@@ -197,9 +198,9 @@
         }
 
         /**
-         * Adds a truth value.
+         * Adds a Boolean field.
          *
-         * @param name the field
+         * @param name name of the field
          * @param value the value
          * @return this line
          */
@@ -212,7 +213,7 @@
             }
         }
 
-        /** Ends the line and hands it to the writing thread. */
+        /** Ends the line and queues it for the writer thread. */
         public void write() {
             try {
                 json.writeEndObject();
@@ -221,8 +222,8 @@
                 throw new UncheckedIOException(e);
             }
             String line = text.toString();
-            while (!waiting.offer(line)) {
-                dropped.addAndGet(waiting.poll() == null ? 0 : 1);
+            while (!queue.offer(line)) {
+                dropped.addAndGet(queue.poll() == null ? 0 : 1);
             }
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/LibraryWarnings.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/LibraryWarnings.java
@@ -11,10 +11,10 @@
 import reactor.util.Loggers;
 
 /**
- * Writes warnings of libraries as lines of the log.
+ * Writes warnings of libraries to the decision log.
  *
- * <p>All of them come by the runtime's own logging, which one library needs anyway; a second framework beside it cost a
- * start a seventh of the time of its main thread.
+ * <p>All of them go through the Java runtime's own logging, which one library needs anyway; a second framework beside
+ * it took a seventh of the main thread's startup time.
  */
 public final class LibraryWarnings extends Handler {
 
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Sends all warnings of libraries to a log from now on; called before other classes of libraries are used.
+     * Redirects all warnings of libraries to a log; called before other classes of libraries are used.
      *
-     * @param log takes the lines
+     * @param log receives the lines
      */
     public static void writeTo(DecisionLog log) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -55,7 +55,7 @@
 
     @Override
     public void flush() {
-        // The log writes its lines by itself.
+        // The log writes its lines on its own thread.
     }
 
     @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/PassedOverCause.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/PassedOverCause.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** Why a request is not sent to an upstream that is listed as taking requests. */
+/** Why an upstream that is listed as accepting requests is skipped for a request. */
 public enum PassedOverCause {
-    /** It has got as many requests as it said that it takes. */
+    /** Its advertised rate limit is used up. */
     LIMIT,
-    /** It announced in its answers that it leaves. */
+    /** It announced a drain in its responses. */
     DRAINING,
-    /** It asked this router to send it nothing for a while. */
+    /** It requested a back-off from this router. */
     BACK_OFF;
 
     /**
-     * Returns the name for logs and counters.
+     * Returns the name in logs and metrics.
      *
-     * @return lower case
+     * @return the name in lower case
      */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/RefusalCause.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/RefusalCause.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a request ends without an answer of an upstream. */
+/** Why a request is refused without an answer from an upstream. */
 public enum RefusalCause {
     /** No configuration is known yet. */
     NO_CONFIGURATION,
@@ -10,39 +10,42 @@
     NO_ROUTE,
     /** The key belongs to no client account. */
     UNKNOWN_KEY,
-    /** The process holds as many bytes of requests as it may. */
+    /** The memory for request bodies is exhausted. */
     BODY_MEMORY,
     /** No upstream of the service is listed. */
     NO_UPSTREAM,
-    /** All upstreams of the service that are listed are about to leave. */
+    /** All listed upstreams of the service are draining. */
     UPSTREAMS_DRAINING,
-    /** No upstream can answer before the caller leaves. */
+    /** No upstream can answer before the caller disconnects. */
     NO_ROOM,
-    /** All upstreams that could answer have got as many requests as they said that they take. */
+    /** The rate limits of all upstreams that could answer are used up. */
     UPSTREAM_LIMITS,
-    /** All upstreams that could answer asked this router to send them nothing for a while. */
+    /** All upstreams that could answer requested a back-off from this router. */
     UPSTREAMS_BACK_OFF,
-    /** Engines could answer, but late, and others would lose several times what that answer is worth. */
+    /**
+     * Engines could answer, but late, and the delay of other requests would cost several times the value of that
+     * answer.
+     */
     TOO_DEAR,
-    /** The process is about to stop. */
+    /** The process is stopping. */
     STOPPING,
-    /** The time of the request is over. */
+    /** The request timed out. */
     TIME_LIMIT,
-    /** The last attempt failed and its route allows no more. */
+    /** The last attempt failed and the route allows no more. */
     ATTEMPTS_USED,
-    /** Another attempt would go beyond what routers may repeat. */
+    /** The retry budget is exhausted. */
     RETRY_BUDGET,
-    /** An attempt failed that may have run, and the request must not run twice. */
+    /** An attempt failed that may have run, and the request is not repeatable. */
     MAY_HAVE_RUN,
-    /** Upstreams end whenever they begin to run the request; to send it again would only end another one. */
+    /** Upstreams crash whenever they run the request; another attempt would only crash another one. */
     ENDS_UPSTREAMS,
-    /** An upstream ended under the same request, which is being tried for another caller or attempt. */
+    /** An upstream crashed under the same request, which is on trial for another caller or attempt. */
     REPEAT_IN_TRIAL;
 
     /**
-     * Returns the name for logs and counters.
+     * Returns the name in logs and metrics.
      *
-     * @return lower case, with underscores
+     * @return the name in lower case, with underscores
      */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/ServingMetrics.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/ServingMetrics.java
@@ -21,12 +21,15 @@
 import org.apricotstack.core.route.RequestKind;
 import org.apricotstack.core.upstream.FailureKind;
 
-/** Counters, gauges and histograms of one router; a counter for each reason exists from the start. */
+/**
+ * Counters, gauges and histograms of one router. The counter of each cause exists from the start, so that it is
+ * exported as zero.
+ */
 public final class ServingMetrics {
 
     private static final long WINDOW_SECONDS = 60;
 
-    /** Begins the name of the gauge of an upstream's limit. */
+    /** Prefix of the gauge names of upstreams' rate limits. */
     private static final String LIMIT_GAUGES = "limits.per_second.";
 
     private final MetricRegistry registry = new MetricRegistry();
@@ -56,7 +59,7 @@
         }
     }
 
-    /** Makes a counter for each constant. */
+    /** Creates a counter for each constant. */
     private <E extends Enum<E>> Map<E, Counter> counters(Class<E> type, Function<E, String> name) {
         Map<E, Counter> counters = new EnumMap<>(type);
         for (E constant : type.getEnumConstants()) {
@@ -65,13 +68,13 @@
         return counters;
     }
 
-    /** Makes a histogram of the last minute. */
+    /** Creates a histogram over the last minute. */
     private Histogram histogram(String name) {
         return registry.register(
                 name, new Histogram(new SlidingTimeWindowArrayReservoir(WINDOW_SECONDS, TimeUnit.SECONDS)));
     }
 
-    /** Returns the name of a constant as metrics write it. */
+    /** Returns the name of a constant in metrics. */
     private static String lower(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
@@ -80,7 +83,7 @@
      * Adds a gauge.
      *
      * @param name its name
-     * @param value reads it
+     * @param value supplies its value
      */
     public void gauge(String name, LongSupplier value) {
         Gauge<Long> gauge = value::getAsLong;
@@ -88,7 +91,7 @@
     }
 
     /**
-     * Counts a request that ended without an answer of an upstream.
+     * Counts a refused request.
      *
      * @param cause why
      */
@@ -97,7 +100,7 @@
     }
 
     /**
-     * Counts an attempt that failed.
+     * Counts a failed attempt.
      *
      * @param kind how
      */
@@ -106,16 +109,16 @@
     }
 
     /**
-     * Counts a repeated send.
+     * Counts a retry.
      *
-     * @param kind how the attempt before it failed
+     * @param kind how the previous attempt failed
      */
     public void retried(FailureKind kind) {
         retries.get(kind).inc();
     }
 
     /**
-     * Counts a request that was served whole.
+     * Counts a request that was served completely.
      *
      * @param kind its kind
      */
@@ -133,7 +136,7 @@
     }
 
     /**
-     * Shows a gauge for each rate limit that holds, in requests a second.
+     * Exports a gauge for each rate limit in force, in requests a second.
      *
      * @param inForce the limits by upstream
      */
@@ -154,7 +157,7 @@
     }
 
     /**
-     * Counts a send for which upstreams were passed over.
+     * Counts an attempt for which upstreams were skipped.
      *
      * @param cause why
      */
@@ -162,41 +165,41 @@
         passedOver.get(cause).inc();
     }
 
-    /** Counts an answer that names something as a rate limit that is none. */
+    /** Counts a response whose rate limit cannot be parsed. */
     public void limitUnreadable() {
         limitsUnreadable.inc();
     }
 
-    /** Counts an upstream that began to announce in its answers that it leaves. */
+    /** Counts an upstream that started to announce a drain. */
     public void drainAnnounced() {
         drainsAnnounced.inc();
     }
 
-    /** Counts an answer whose announcement of a drain cannot be read. */
+    /** Counts a response whose drain announcement cannot be parsed. */
     public void drainUnreadable() {
         drainsUnreadable.inc();
     }
 
     /**
-     * Counts an answer that turned a request away and asked, or seemed to ask, for a back-off.
+     * Counts a response that rejected a request and contained a back-off, valid or not.
      *
-     * @param kind whether it could be read
+     * @param kind whether the back-off could be parsed
      */
     public void backOff(AdvertisedBackOff.Kind kind) {
         backOffs.get(kind).inc();
     }
 
     /**
-     * Shows how many upstreams asked for a back-off that is not over.
+     * Sets the number of upstreams with a back-off in force.
      *
-     * @param upstreams how many
+     * @param upstreams number of upstreams
      */
     public void backOffsInForce(int upstreams) {
         backOffsInForce = upstreams;
     }
 
     /**
-     * Notes the time to the answer, or to the first event of a stream.
+     * Records the time to the response, or to the first event of a stream.
      *
      * @param kind the request's kind
      * @param millis from the request's arrival, in milliseconds
@@ -206,25 +209,25 @@
     }
 
     /**
-     * Notes how far the prediction of a first event was off.
+     * Records the prediction error of the time to the first event.
      *
-     * @param millis seen minus predicted, in milliseconds
+     * @param millis observed minus predicted time, in milliseconds
      */
     public void predictionError(long millis) {
         predictionError.update(millis);
     }
 
     /**
-     * Notes the longest pause of a stream.
+     * Records the longest token gap of a stream.
      *
-     * @param millis the pause, in milliseconds
+     * @param millis the token gap, in milliseconds
      */
     public void longestTokenGap(long millis) {
         longestTokenGap.update(millis);
     }
 
     /**
-     * Returns everything.
+     * Returns the registry of all metrics.
      *
      * @return the registry
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/UnknownFields.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/UnknownFields.java
@@ -6,46 +6,46 @@
 import com.google.common.base.Ascii;
 
 /**
- * Names in what upstreams and the platform say that this program does not know, so that a field that is new there is
- * seen on its first day.
+ * Collects unknown fields in messages of upstreams and the platform, so that a new field is noticed as soon as it
+ * appears.
  */
 public final class UnknownFields {
 
-    /** Names that are remembered, so that each is written down once; bounds the memory. */
-    private static final int MOST_NAMES = 64;
+    /** Maximum number of remembered names, so that each is logged once. */
+    private static final int MAX_NAMES = 64;
 
-    /** Longest name that is written down, in characters; others may have chosen it. */
-    private static final int MOST_NAME_LETTERS = 60;
+    /** Maximum length of a logged name, in characters; it may come from an untrusted sender. */
+    private static final int MAX_NAME_LENGTH = 60;
 
     private final DecisionLog log;
     private final Set<String> names = new LinkedHashSet<>();
     private long count;
 
     /**
-     * Creates a list of no names.
+     * Creates an empty collection.
      *
-     * @param log takes each name once
+     * @param log receives each name once
      */
     public UnknownFields(DecisionLog log) {
         this.log = log;
     }
 
     /**
-     * Counts a name that is not known, and writes it down when it is met for the first time.
+     * Counts an unknown field, and logs its name when it first occurs.
      *
-     * @param place where it stands, such as {@code answer}
-     * @param name the name
+     * @param place the kind of message, such as {@code answer}
+     * @param name the name of the field
      */
     public void count(String place, String name) {
         count++;
-        String shortened = Ascii.truncate(name, MOST_NAME_LETTERS, "...");
-        if (names.size() < MOST_NAMES && names.add(place + " " + shortened)) {
+        String shortened = Ascii.truncate(name, MAX_NAME_LENGTH, "...");
+        if (names.size() < MAX_NAMES && names.add(place + " " + shortened)) {
             log.line("field_unknown").put("place", place).put("name", shortened).write();
         }
     }
 
     /**
-     * Returns how many different names are remembered.
+     * Returns the number of different remembered names.
      *
      * @return names, 64 at most
      */
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Returns how often a name was met that is not known.
+     * Returns how often an unknown field occurred.
      *
-     * @return times since the start
+     * @return occurrences since the start
      */
     public long count() {
         return count;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/observe/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines and metrics, from which an operator explains a failure afterwards. */
+/** Log lines and metrics for the diagnosis of failures. */
 package org.apricotstack.serving.observe;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/observe/DecisionLogTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/observe/DecisionLogTest.java
@@ -18,11 +18,11 @@
 
 class DecisionLogTest {
 
-    /** Longest time that a test waits for a write, in seconds; it fails then. */
+    /** Timeout for a write, in seconds. */
     private static final long PATIENCE_SECONDS = 15;
 
-    /** Lines that wait at most. */
-    private static final int WAITING = 4_096;
+    /** Maximum number of queued lines. */
+    private static final int MAX_QUEUED_LINES = 4_096;
 
     private static List<String> lines(ByteArrayOutputStream out) {
         return out.toString(StandardCharsets.UTF_8).lines().toList();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void losesNoLineThatWaitsWhenItIsClosed() {
+    void writesQueuedLinesOnClose() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DecisionLog log = new DecisionLog("host", () -> 7, out)) {
             for (int i = 0; i < 10; i++) {
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Symptom: the lines that tell how an overload ended are missing. Sequence: nobody reads the output for a while,
-     * and more lines are written than may wait. Cause: the newest were dropped.
+     * Guards against the loss of the lines that show how an overload ended. When nothing reads the output for a while
+     * and the queue overflows, the newest lines were dropped.
      */
     @Test
-    void dropsTheOldestLinesAndCountsThem() throws InterruptedException {
+    void dropsAndCountsTheOldestLines() throws InterruptedException {
         CountDownLatch writing = new CountDownLatch(1);
         CountDownLatch reads = new CountDownLatch(1);
         ByteArrayOutputStream read = new ByteArrayOutputStream();
@@ -74,21 +74,21 @@
         DecisionLog log = new DecisionLog("host", () -> 7, blocked);
         log.line("tried").put("number", 0).write();
         assertThat(writing.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
-        for (int i = 1; i <= WAITING + 5; i++) {
+        for (int i = 1; i <= MAX_QUEUED_LINES + 5; i++) {
             log.line("tried").put("number", i).write();
         }
         assertThat(log.dropped()).isEqualTo(5);
         reads.countDown();
         log.close();
         assertThat(lines(read))
-                .hasSize(WAITING + 1)
+                .hasSize(MAX_QUEUED_LINES + 1)
                 .startsWith(line(0))
-                .endsWith(line(WAITING + 5))
+                .endsWith(line(MAX_QUEUED_LINES + 5))
                 .doesNotContain(line(5));
     }
 
     @Test
-    void writesWarningsOfLibraries() {
+    void logsLibraryWarnings() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DecisionLog log = new DecisionLog("host", () -> 7, out)) {
             LibraryWarnings.writeTo(log);
