--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterOptions.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterOptions.java
@@ -6,28 +6,28 @@
 import org.apricotstack.serving.gossip.RouterIdentity;
 
 /**
- * What a router is started with.
+ * Startup options of a router.
  *
- * @param identity who it is
- * @param seeds addresses at which other routers may be found
+ * @param identity identity and addresses of the router
+ * @param seeds addresses of routers to contact first
  * @param memoryBytes memory of the process, in bytes
- * @param mostSockets sockets that it may open
- * @param retryRatio repeated sends allowed for each request, over all routers
- * @param retryWindowMillis sliding window of the above, in milliseconds
- * @param retrySlack repeated sends allowed beyond the ratio, over all routers
- * @param stopMillis time to stop in, in milliseconds
+ * @param maxSockets maximum number of open sockets
+ * @param retryRatio retries allowed per request, over all routers
+ * @param retryWindowMillis sliding window of the retry ratio, in milliseconds
+ * @param retrySlack retries allowed in addition to the ratio, over all routers
+ * @param stopTimeoutMillis time until a stopping process is killed, in milliseconds
  */
 public record RouterOptions(
         RouterIdentity identity,
         List<Address> seeds,
         long memoryBytes,
-        int mostSockets,
+        int maxSockets,
         double retryRatio,
         long retryWindowMillis,
         double retrySlack,
-        long stopMillis) {
+        long stopTimeoutMillis) {
 
-    /** Copies the list. */
+    /** Copies the list of seeds. */
     public RouterOptions {
         seeds = List.copyOf(seeds);
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterPorts.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/RouterPorts.java
@@ -11,14 +11,14 @@
 import org.apricotstack.serving.run.EngineCalls;
 
 /**
- * What a router needs of the platform that it runs on.
+ * Adapters that connect a router to the platform that it runs on.
  *
- * @param callers reads requests
- * @param upstreams writes requests and reads answers
+ * @param callers parses requests of callers
+ * @param upstreams encodes requests to upstreams and parses their responses
  * @param reader decodes published documents
- * @param source makes the reader of what is published
- * @param engines makes the calls to engines
- * @param unknown collects names that are not known in what upstreams and the platform say
+ * @param source creates the reader of published documents
+ * @param engines creates the client of the engines' interface
+ * @param unknown collects unknown fields in messages of upstreams and the platform
  */
 public record RouterPorts(
         CallerProtocol callers,
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
@@ -36,23 +36,26 @@
 import org.apricotstack.serving.run.RetryBudgets;
 import org.apricotstack.serving.run.ServingContext;
 
-/** A router: takes callers, chooses upstreams, follows the platform, and shares news with the other routers. */
+/**
+ * A router: serves callers, chooses upstreams, follows the platform, and exchanges state updates with the other
+ * routers.
+ */
 public final class ServingRouter implements AutoCloseable {
 
-    /** Time between two looks at times that have passed, in milliseconds. */
-    private static final long SWEEP_MILLIS = 250;
+    /** Interval between two checks for expired state, in milliseconds. */
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
 
-    /** Lateness of a sweep from which the process counts as having stood still, in milliseconds. */
-    private static final long STOOD_STILL_MILLIS = 1_000;
+    /** Delay of a sweep above which the process counts as stalled, in milliseconds. */
+    private static final long STALL_MILLIS = 1_000;
 
-    /** Share of the process's memory that bodies of requests may take. */
+    /** Share of the process memory for request bodies. */
     private static final double BODY_SHARE = 0.1;
 
-    /** Share of the sockets that callers may take. */
+    /** Share of the sockets for callers. */
     private static final double CALLER_SHARE = 0.6;
 
-    /** Addresses told to one caller, at most. */
-    private static final int MOST_ADDRESSES = 64;
+    /** Maximum number of addresses in a response to a caller. */
+    private static final int MAX_ADDRESSES = 64;
 
     private final ServingLoop loop;
     private final RouterOptions options;
@@ -69,17 +72,17 @@
     private final CallerServer callers;
     private final StopSequence stop;
     private RouterIdentity identity;
-    private GossipServer newsServer;
+    private GossipServer gossipServer;
     private HeartbeatPort heartbeatPort;
-    private long sweptMillis;
+    private long lastSweepMillis;
 
     /**
-     * Creates a router that does nothing yet.
+     * Creates a router that is not started.
      *
-     * @param loop the thread
-     * @param options what it is started with
-     * @param ports the platform
-     * @param log takes decisions
+     * @param loop the event loop
+     * @param options the startup options
+     * @param ports the adapters to the platform
+     * @param log receives decisions and changes of state
      */
     public ServingRouter(ServingLoop loop, RouterOptions options, RouterPorts ports, DecisionLog log) {
         this.loop = loop;
@@ -87,10 +90,10 @@
         this.log = log;
         UniformRandomProvider random = random(options.identity().process());
         UpstreamTable upstreams = new UpstreamTable();
-        OutlierDetector judge = new OutlierDetector();
-        EngineLoadTable board = new EngineLoadTable();
-        state = new PublishedState(ports.reader(), upstreams, judge, board, log);
-        state.whenEnded(this::upstreamEnded);
+        OutlierDetector outlierDetector = new OutlierDetector();
+        EngineLoadTable loadTable = new EngineLoadTable();
+        state = new PublishedState(ports.reader(), upstreams, outlierDetector, loadTable, log);
+        state.onUpstreamRemoved(this::onUpstreamRemoved);
         connections = new UpstreamConnections(loop);
         HttpCalls calls = new HttpCalls(loop, connections);
         follower = new PublicationFollower(
@@ -99,8 +102,8 @@
         hub = new GossipHub(
                 loop,
                 peers,
-                board,
-                judge,
+                loadTable,
+                outlierDetector,
                 suspects,
                 limits,
                 upstreams.drains(),
@@ -108,7 +111,7 @@
                 state,
                 log,
                 this::ready,
-                follower::reads,
+                follower::isFollowing,
                 follower::restartIfSilent);
         ServingContext context = new ServingContext(
                 options.identity().process(),
@@ -116,8 +119,8 @@
                 loop,
                 state::configuration,
                 upstreams,
-                judge,
-                board,
+                outlierDetector,
+                loadTable,
                 connections,
                 ports.upstreams(),
                 ports.engines().apply(calls),
@@ -133,32 +136,35 @@
                 metrics);
         runs = new RequestDispatcher(context);
         hub.suspects().onCrashReported(runs::upstreamCrashReported);
-        state.whenServingAgain(runs::drainEnded);
+        state.onDrainEnded(runs::drainEnded);
         callers = new CallerServer(
-                loop, ports.callers(), runs, this::limits, (int) (options.mostSockets() * CALLER_SHARE));
-        stop = new StopSequence(loop, options.stopMillis(), callers, runs, hub, log);
-        addGauges(board, upstreams);
+                loop, ports.callers(), runs, this::limits, (int) (options.maxSockets() * CALLER_SHARE));
+        stop = new StopSequence(loop, options.stopTimeoutMillis(), callers, runs, hub, log);
+        addGauges(loadTable, upstreams);
         metrics.gauge("fields.unknown", ports.unknown()::size);
         metrics.gauge("fields.unknown_met", ports.unknown()::count);
     }
 
-    /** Creates random numbers of this process; the library's factory would load all of its generators first. */
+    /**
+     * Creates the random number generator of this process. The library's factory would load the classes of all its
+     * generators first.
+     */
     private static UniformRandomProvider random(ProcessId process) {
         SplitMix64 seeds = new SplitMix64(process.hashCode());
         return new XoRoShiRo128PlusPlus(seeds.nextLong(), seeds.nextLong());
     }
 
-    /** Adds what is read when somebody asks. */
-    private void addGauges(EngineLoadTable board, UpstreamTable upstreams) {
+    /** Registers the gauges. */
+    private void addGauges(EngineLoadTable loadTable, UpstreamTable upstreams) {
         metrics.gauge("requests.open", runs::open);
         metrics.gauge("requests.not_proper", callers::malformedRequests);
-        metrics.gauge("engines.placements", board::size);
+        metrics.gauge("engines.placements", loadTable::size);
         metrics.gauge("upstreams.connections_opened", connections::opened);
         metrics.gauge("platform.calls", follower::calls);
         metrics.gauge("platform.faults", follower::faults);
         metrics.gauge("platform.history", follower::history);
-        metrics.gauge("platform.histories_begun", follower::histories);
-        metrics.gauge("platform.followed", () -> follower.reads() ? 1 : 0);
+        metrics.gauge("platform.histories_begun", follower::historyChanges);
+        metrics.gauge("platform.followed", () -> follower.isFollowing() ? 1 : 0);
         metrics.gauge("upstreams.listed", state::upstreamsListed);
         metrics.gauge("configuration.revision", () -> Revisions.inHistory(state.configurationRevision()));
         metrics.gauge("configuration.version", state::configurationVersion);
@@ -170,7 +176,7 @@
         metrics.gauge("suspects.known", suspects::size);
         metrics.gauge("suspects.causes", suspects::causes);
         metrics.gauge("suspects.dropped", suspects::dropped);
-        metrics.gauge("suspects.ends_heard", hub.suspects()::heard);
+        metrics.gauge("suspects.ends_heard", hub.suspects()::received);
         metrics.gauge("suspects.news_dropped", hub.suspects()::dropped);
         metrics.gauge("drains.in_force", () -> upstreams.drains().all().size());
         metrics.gauge("limits.in_force", () -> limits.all().size());
@@ -178,54 +184,54 @@
         metrics.gauge("limits.questions_unanswered", hub.limits()::unanswered);
         metrics.gauge("limits.news_dropped", hub.limits()::dropped);
         metrics.gauge("heartbeats.malformed", () -> heartbeatPort == null ? 0 : heartbeatPort.malformed());
-        metrics.gauge("news_streams.malformed", () -> newsServer == null ? 0 : newsServer.malformed());
+        metrics.gauge("news_streams.malformed", () -> gossipServer == null ? 0 : gossipServer.malformed());
         metrics.gauge("log.lines_dropped", log::dropped);
     }
 
     /**
-     * Starts everything.
+     * Starts listening, and following the platform and the other routers.
      *
-     * @return who the router is, with the ports that it listens on
+     * @return identity of the router, with the ports that it listens on
      */
     public RouterIdentity start() {
-        RouterIdentity asked = options.identity();
-        newsServer = new GossipServer(loop, asked.peerAddress(), hub);
+        RouterIdentity configured = options.identity();
+        gossipServer = new GossipServer(loop, configured.peerAddress(), hub);
         identity = new RouterIdentity(
-                asked.process(),
-                asked.dataCentre(),
-                callers.listen(asked.callerAddress()),
-                new Address(asked.peerAddress().ip(), newsServer.port()),
-                asked.capacityPercent());
+                configured.process(),
+                configured.dataCentre(),
+                callers.listen(configured.callerAddress()),
+                new Address(configured.peerAddress().ip(), gossipServer.port()),
+                configured.capacityPercent());
         heartbeatPort = new HeartbeatPort(loop, identity.peerAddress());
         options.seeds().forEach(peers::addAddress);
-        sweptMillis = loop.nowMillis();
+        lastSweepMillis = loop.nowMillis();
         loop.execute(() -> {
             follower.start();
             hub.start(identity, heartbeatPort);
-            loop.scheduleWithFixedDelay(SWEEP_MILLIS, this::sweep);
+            loop.scheduleWithFixedDelay(SWEEP_INTERVAL_MILLIS, this::sweep);
         });
         return identity;
     }
 
-    /** Returns how many routers follow the platform at the same time. */
+    /** Returns the approximate number of routers that follow the platform at the same time. */
     private int platformReaders() {
         return hub.platformReaders();
     }
 
-    /** Tells whether this router has to follow the platform itself. */
+    /** Returns whether this router has to follow the platform itself. */
     private boolean mustReadPlatform() {
         return hub.mustReadPlatform();
     }
 
-    /** Drops what leads to a start of an upstream that is over. */
-    private void upstreamEnded(UpstreamEntry entry) {
+    /** Closes connections to an upstream that was removed or restarted, and ends attempts at a restarted one. */
+    private void onUpstreamRemoved(UpstreamEntry entry) {
         connections.closeIdleTo(entry.address());
-        if (state.isOver(entry.id())) {
+        if (state.isSuperseded(entry.id())) {
             runs.upstreamRestarted(entry);
         }
     }
 
-    /** Writes down that a request was found to be the cause of its upstreams' ends. */
+    /** Logs that a request was found to be the cause of upstream crashes. */
     private void causeFound(SuspectedRequest suspicion) {
         log.line("cause_found")
                 .put("content", suspicion.request().toString())
@@ -236,52 +242,52 @@
                 .write();
     }
 
-    /** Looks at times that have passed. */
+    /** Removes expired state, and resynchronizes with the platform after a stall of the process. */
     private void sweep() {
         long now = loop.nowMillis();
-        long still = now - sweptMillis - SWEEP_MILLIS;
-        sweptMillis = now;
-        if (still > STOOD_STILL_MILLIS) {
-            log.line("stood_still").put("millis", still).write();
-            follower.readAgain();
+        long stalledMillis = now - lastSweepMillis - SWEEP_INTERVAL_MILLIS;
+        lastSweepMillis = now;
+        if (stalledMillis > STALL_MILLIS) {
+            log.line("process_stalled").put("millis", stalledMillis).write();
+            follower.resync();
         }
-        follower.look();
+        follower.resumeIfNeeded();
         state.removeExpired(now);
         suspects.expire(now);
-        runs.expire(!follower.away());
+        runs.expire(!follower.unavailable());
         hub.limits().expire();
-        hub.tellNewReadings();
+        hub.reportPlatformChanges();
         callers.closeTimedOut();
         connections.closeExpired();
     }
 
-    /** Returns what callers may send now. */
+    /** Returns the limits for requests of callers. */
     private CallerLimits limits() {
         ServingConfiguration configuration = state.configuration();
         return configuration == null ? CallerLimits.DEFAULT : configuration.limits();
     }
 
     /**
-     * Tells whether callers are served.
+     * Returns whether this router can serve callers.
      *
-     * @return whether everything needed is known and the router does not stop
+     * @return whether the configuration and upstreams are known and the router is not stopping
      */
     public boolean ready() {
-        return state.complete() && !stop.begun();
+        return state.complete() && !stop.stopping();
     }
 
     /**
-     * Returns where callers of a data centre should connect.
+     * Returns the addresses to which callers of a data centre should connect.
      *
-     * @param dataCentre their data centre, or {@code null} if they do not say
-     * @return addresses of routers that are believed to take callers
+     * @param dataCentre the callers' data centre, or {@code null} if unknown
+     * @return addresses of active routers
      */
     public List<Address> callerAddresses(DataCentreId dataCentre) {
-        return peers.callerAddresses(hub.ownPeer(), dataCentre, MOST_ADDRESSES, loop.nowMillis());
+        return peers.callerAddresses(hub.ownPeer(), dataCentre, MAX_ADDRESSES, loop.nowMillis());
     }
 
     /**
-     * Takes in addresses at which other routers may be; called on the loop.
+     * Adds addresses at which other routers may be reached; called on the event loop.
      *
      * @param addresses the addresses
      */
@@ -299,9 +305,9 @@
     }
 
     /**
-     * Stops without losing requests; further calls change nothing.
+     * Stops without losing requests; further calls have no effect.
      *
-     * @param whenDone called once nothing is left to do
+     * @param whenDone called once the router has stopped
      */
     public void stop(Runnable whenDone) {
         loop.execute(() -> stop.begin(whenDone));
@@ -311,8 +317,8 @@
     public void close() {
         callers.close();
         hub.close();
-        if (newsServer != null) {
-            newsServer.close();
+        if (gossipServer != null) {
+            gossipServer.close();
             heartbeatPort.close();
         }
         loop.close();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/StopSequence.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/StopSequence.java
@@ -10,88 +10,89 @@
  * Stops a router without losing requests.
  *
  * <p>Callers learn of the stop only when they ask for addresses again, and use their connections until then. So the
- * router first stops to be named and lets each answer end its connection; later it closes idle connections and refuses
- * what is new; it ends when nothing is open any more, in any case shortly before it would be killed.
+ * router is first removed from the addresses for callers and closes each connection after its response. Later it
+ * closes idle connections and rejects new requests. It ends when no request is open any more, and in any case shortly
+ * before the process would be killed.
  */
 final class StopSequence {
 
-    /** Time for which callers may still bring requests, in milliseconds: the time that addresses are kept, and more. */
-    private static final long NAMED_MILLIS = 2_600;
+    /** Time for which callers may still send requests, in milliseconds; longer than callers cache addresses. */
+    private static final long CALLER_GRACE_MILLIS = 2_600;
 
-    /** Share of the time to stop in after which new requests are refused. */
-    private static final double REFUSE_SHARE = 0.6;
+    /** Share of the stop timeout after which new requests are rejected. */
+    private static final double REJECT_SHARE = 0.6;
 
-    /** Left of the time to stop in when the process ends in any case, in milliseconds. */
+    /** Remainder of the stop timeout when the process ends in any case, in milliseconds. */
     private static final long MARGIN_MILLIS = 300;
 
-    private static final long RECHECK_MILLIS = 100;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final ServingLoop loop;
-    private final long stopMillis;
+    private final long stopTimeoutMillis;
     private final CallerServer callers;
     private final RequestDispatcher runs;
     private final GossipHub hub;
     private final DecisionLog log;
-    private boolean begun;
+    private boolean stopping;
     private boolean idleClosed;
-    private long begunMillis;
+    private long startMillis;
     private Runnable whenDone;
 
-    /** Creates a sequence that was not begun. */
+    /** Creates a sequence that has not started. */
     StopSequence(
             ServingLoop loop,
-            long stopMillis,
+            long stopTimeoutMillis,
             CallerServer callers,
             RequestDispatcher runs,
             GossipHub hub,
             DecisionLog log) {
         this.loop = loop;
-        this.stopMillis = stopMillis;
+        this.stopTimeoutMillis = stopTimeoutMillis;
         this.callers = callers;
         this.runs = runs;
         this.hub = hub;
         this.log = log;
     }
 
-    /** Tells whether the router stops. */
-    boolean begun() {
-        return begun;
+    /** Returns whether the router is stopping. */
+    boolean stopping() {
+        return stopping;
     }
 
-    /** Begins to stop. */
+    /** Starts to stop the router. */
     void begin(Runnable done) {
-        if (begun) {
+        if (stopping) {
             return;
         }
-        begun = true;
-        begunMillis = loop.nowMillis();
+        stopping = true;
+        startMillis = loop.nowMillis();
         whenDone = done;
         log.line("stop_begun").put("open", runs.open()).write();
         callers.beginStop();
         hub.heartbeat();
-        look();
+        runDueSteps();
     }
 
-    /** Looks whether the next step is due. */
-    private void look() {
-        long since = loop.nowMillis() - begunMillis;
-        if (since >= NAMED_MILLIS && !idleClosed) {
+    /** Runs the steps that are due, and schedules the next check. */
+    private void runDueSteps() {
+        long elapsedMillis = loop.nowMillis() - startMillis;
+        if (elapsedMillis >= CALLER_GRACE_MILLIS && !idleClosed) {
             idleClosed = true;
             callers.closeIdle();
         }
-        if (since >= stopMillis * REFUSE_SHARE) {
+        if (elapsedMillis >= stopTimeoutMillis * REJECT_SHARE) {
             runs.refuseNew();
         }
         boolean finished = idleClosed && runs.open() == 0;
-        if (finished || since >= stopMillis - MARGIN_MILLIS) {
+        if (finished || elapsedMillis >= stopTimeoutMillis - MARGIN_MILLIS) {
             log.line("stopped")
                     .put("open", runs.open())
-                    .put("took_millis", since)
+                    .put("took_millis", elapsedMillis)
                     .write();
             callers.stopListening();
             whenDone.run();
             return;
         }
-        loop.schedule(RECHECK_MILLIS, this::look);
+        loop.schedule(CHECK_INTERVAL_MILLIS, this::runDueSteps);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DocumentExchange.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DocumentExchange.java
@@ -14,49 +14,55 @@
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.NewsReply;
 
-/** Asks peers for published documents that the platform did not tell this router, and answers theirs. */
+/**
+ * Fetches published documents from peers that the platform has not reported to this router, and serves the requests of
+ * peers.
+ */
 final class DocumentExchange {
 
     private final ServingLoop loop;
     private final PublishedState state;
     private final DecisionLog log;
-    private final Runnable whenBehind;
-    private final PeerFetchPolicy catchUp = new PeerFetchPolicy();
-    private boolean needsWhole;
+    private final Runnable onBehind;
+    private final PeerFetchPolicy fetchPolicy = new PeerFetchPolicy();
+    private boolean needsSnapshot;
 
-    /** Creates the exchange of documents. */
-    DocumentExchange(ServingLoop loop, PublishedState state, DecisionLog log, Runnable whenBehind) {
+    /** Creates an exchange that has requested nothing yet. */
+    DocumentExchange(ServingLoop loop, PublishedState state, DecisionLog log, Runnable onBehind) {
         this.loop = loop;
         this.state = state;
         this.log = log;
-        this.whenBehind = whenBehind;
+        this.onBehind = onBehind;
     }
 
-    /** Takes in what a peer knows, and tells whether to ask it now. */
-    boolean isToAsk(Peer peer, long behindMillis) {
-        return catchUp.shouldFetch(
+    /** Returns whether to fetch documents from a peer now, given the versions that it reported. */
+    boolean shouldFetch(Peer peer, long behindMillis) {
+        return fetchPolicy.shouldFetch(
                 peer, state.configurationVersion(), state.upstreamsRevision(), behindMillis, loop.nowMillis());
     }
 
-    /** Tells whether to ask a reader that lists other upstreams at the same revision: some did not come back there. */
-    boolean listsOthers(Peer reader, int listed) {
+    /**
+     * Returns whether to fetch from the platform reader because it lists a different number of upstreams at the same
+     * revision, as when some did not come back after an outage.
+     */
+    boolean hasDifferentUpstreams(Peer reader, int listed) {
         return reader.upstreamsRevision() == state.upstreamsRevision()
                 && listed != state.upstreamsListed()
-                && catchUp.mayFetch(loop.nowMillis());
+                && fetchPolicy.mayFetch(loop.nowMillis());
     }
 
-    /** Asks a peer for what it knows and this router does not. */
-    void ask(Peer peer, OutboundGossipStream link, EncodedFrame greeting) {
-        // One revision less than known, as a list may differ at the same revision.
+    /** Requests the documents that a peer knows and this router lacks. */
+    void fetch(Peer peer, OutboundGossipStream stream, EncodedFrame greeting) {
+        // One less than the known revision, as the lists may differ at the same revision.
         long known = Math.max(0, state.upstreamsRevision() - 1);
         NewsFrame request = NewsFrame.newBuilder()
                 .setDocuments(DocumentRequest.newBuilder()
                         .setConfigurationVersion(state.configurationVersion())
-                        .setUpstreamsRevision(needsWhole ? 0 : known)
-                        .setNewerOnly(known > 0 && !needsWhole))
+                        .setUpstreamsRevision(needsSnapshot ? 0 : known)
+                        .setNewerOnly(known > 0 && !needsSnapshot))
                 .build();
-        if (link.ask(greeting, request)) {
-            catchUp.fetchStarted(loop.nowMillis());
+        if (stream.fetch(greeting, request)) {
+            fetchPolicy.fetchStarted(loop.nowMillis());
             log.line("peer_asked")
                     .put("peer", peer.process().host().value())
                     .put("peer_configuration", peer.configurationVersion())
@@ -65,10 +71,10 @@
                     .put("own_upstreams", Revisions.text(state.upstreamsRevision()))
                     .write();
         }
-        whenBehind.run();
+        onBehind.run();
     }
 
-    /** Answers a peer with what it lacks. */
+    /** Returns the documents that a peer lacks. */
     NewsReply answer(DocumentRequest request) {
         NewsReply.Builder reply = NewsReply.newBuilder();
         if (state.configurationVersion() > request.getConfigurationVersion()) {
@@ -88,10 +94,10 @@
         return reply.build();
     }
 
-    /** Takes in what a peer answered. */
-    void take(NewsReply reply, String source) {
+    /** Applies the reply of a peer. */
+    void receive(NewsReply reply, String source) {
         if (reply.hasConfiguration()) {
-            state.take(GossipMessages.publication(reply.getConfiguration()), source);
+            state.apply(GossipMessages.publication(reply.getConfiguration()), source);
         }
         if (reply.getUpstreamsRevision() == 0 || reply.getUpstreamsRevision() < state.upstreamsRevision()) {
             return;
@@ -102,12 +108,12 @@
         if (reply.getUpstreamNamesCount() > 0) {
             List<UpstreamId> names =
                     reply.getUpstreamNamesList().stream().map(UpstreamId::new).toList();
-            needsWhole = !state.takeChangedUpstreams(
+            needsSnapshot = !state.applyUpstreamChanges(
                     upstreams, names, reply.getUpstreamsRevision(), source, loop.nowMillis());
             return;
         }
-        needsWhole = false;
-        state.takeAllUpstreams(upstreams, reply.getUpstreamsRevision(), source, loop.nowMillis());
+        needsSnapshot = false;
+        state.applyUpstreamSnapshot(upstreams, reply.getUpstreamsRevision(), source, loop.nowMillis());
         state.caughtUp(reply.getUpstreamsRevision());
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DrainChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DrainChannel.java
@@ -13,56 +13,60 @@
 import org.apricotstack.wire.news.NewsFrame;
 
 /**
- * Tells the other routers which upstreams announced that they leave.
+ * Reports to the other routers which upstreams announced a drain.
  *
- * <p>Only a router that learns it from an answer tells it, once for each drain and each end of one. Routers that decide
- * on requests hear it over streams, which begin with all that is known; those that stand by get datagrams, which may be
- * lost and are repeated.
+ * <p>Only a router that learns it from a response of the upstream reports it, once for the start and once for the end
+ * of each drain. Active routers receive it over streams, which begin with the full state. Standby routers get
+ * datagrams, which may be lost and are repeated.
  */
 final class DrainChannel {
 
-    /** Times after which routers that stand by are told again, in milliseconds. */
-    private static final long[] REPEAT_MILLIS = {250, 1_500};
+    /** Delays after which the datagram to standby routers is repeated, in milliseconds. */
+    private static final long[] REPEAT_DELAYS_MILLIS = {250, 1_500};
 
     private final ServingLoop loop;
     private final DrainTable table;
     private final GossipPeers peers;
     private final DecisionLog log;
-    private final Supplier<NewsFrame.Builder> news;
+    private final Supplier<NewsFrame.Builder> frameBuilder;
 
-    /** Creates a channel; the news are the frame that is sent at the end of this turn of the loop. */
+    /** Creates a channel; the supplier returns the frame that is sent at the end of this turn of the event loop. */
     DrainChannel(
-            ServingLoop loop, DrainTable table, GossipPeers peers, DecisionLog log, Supplier<NewsFrame.Builder> news) {
+            ServingLoop loop,
+            DrainTable table,
+            GossipPeers peers,
+            DecisionLog log,
+            Supplier<NewsFrame.Builder> frameBuilder) {
         this.loop = loop;
         this.table = table;
         this.peers = peers;
         this.log = log;
-        this.news = news;
+        this.frameBuilder = frameBuilder;
     }
 
-    /** Tells what is known now of an upstream whose answer changed it. */
-    void tell(UpstreamId upstream) {
+    /** Reports the drain state of an upstream after a response changed it. */
+    void broadcast(UpstreamId upstream) {
         DrainNotice notice = notice(upstream);
         if (notice == null) {
             return;
         }
         peers.openStreams();
-        news.get().addDrains(notice);
-        tellStandBy(upstream);
-        for (long delayMillis : REPEAT_MILLIS) {
-            loop.schedule(delayMillis, () -> tellStandBy(upstream));
+        frameBuilder.get().addDrains(notice);
+        sendToStandby(upstream);
+        for (long delayMillis : REPEAT_DELAYS_MILLIS) {
+            loop.schedule(delayMillis, () -> sendToStandby(upstream));
         }
     }
 
-    /** Tells the routers that stand by what is known now of an upstream. */
-    private void tellStandBy(UpstreamId upstream) {
+    /** Reports the current drain state of an upstream to the standby routers. */
+    private void sendToStandby(UpstreamId upstream) {
         DrainNotice notice = notice(upstream);
         if (notice != null) {
-            peers.tellStandBy(NewsFrame.newBuilder().addDrains(notice).build());
+            peers.sendToStandby(NewsFrame.newBuilder().addDrains(notice).build());
         }
     }
 
-    /** Writes what is known of an upstream; {@code null} if nothing is. */
+    /** Encodes the drain state of an upstream; {@code null} if there is none. */
     private DrainNotice notice(UpstreamId upstream) {
         AnnouncedDrain drain = table.find(upstream);
         Long endMillis = table.endMillis(upstream);
@@ -78,30 +82,30 @@
                 .build();
     }
 
-    /** Tells whether any upstream leaves of which the other routers have to hear. */
-    boolean any() {
+    /** Returns whether any upstream is draining, which the other routers have to learn. */
+    boolean hasState() {
         return !table.isEmpty();
     }
 
-    /** Adds what is known to a frame for a router that missed news. */
+    /** Adds all drains to a frame for a router that missed updates. */
     void addAll(NewsFrame.Builder frame) {
         table.all().keySet().forEach(upstream -> frame.addDrains(notice(upstream)));
     }
 
     /**
-     * Takes in what another router tells.
+     * Applies the drains that another router reports.
      *
-     * @param frame the news
+     * @param frame the state update
      * @param sender where a datagram came from, or {@code null} for a stream
      */
-    void take(NewsFrame frame, Address sender) {
-        frame.getDrainsList().forEach(notice -> heard(notice, sender == null ? "news" : sender.toString()));
+    void receive(NewsFrame frame, Address sender) {
+        frame.getDrainsList().forEach(notice -> receiveNotice(notice, sender == null ? "news" : sender.toString()));
     }
 
-    /** Takes in what another router read in an answer of an upstream. */
-    private void heard(DrainNotice notice, String source) {
+    /** Applies a drain notice that another router learned from a response of the upstream. */
+    private void receiveNotice(DrainNotice notice, String source) {
         UpstreamId upstream = new UpstreamId(notice.getUpstream(), notice.getIncarnation());
-        if (peers.isOver(upstream)) {
+        if (peers.isSuperseded(upstream)) {
             return;
         }
         long now = loop.nowMillis();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/EncodedFrame.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/EncodedFrame.java
@@ -4,22 +4,22 @@
 import io.netty.buffer.Unpooled;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** A frame of news that was written once, however many routers it is sent to. */
+/** A frame of state updates that is serialized once, however many routers it is sent to. */
 final class EncodedFrame {
 
     private final byte[] bytes;
 
-    /** Holds written bytes. */
+    /** Holds a serialized frame. */
     private EncodedFrame(byte[] bytes) {
         this.bytes = bytes;
     }
 
-    /** Writes a frame. */
+    /** Serializes a frame. */
     static EncodedFrame of(NewsFrame frame) {
         return new EncodedFrame(frame.toByteArray());
     }
 
-    /** Returns the bytes to send; all buffers share them, so nobody may change them. */
+    /** Returns a buffer for sending; all buffers share the bytes, so nobody may change them. */
     ByteBuf buffer() {
         return Unpooled.wrappedBuffer(bytes);
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/FleetLimitPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/FleetLimitPeers.java
@@ -15,7 +15,7 @@
 import org.apricotstack.serving.publication.PublishedState;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** The other routers as heartbeats tell of them. */
+/** The other routers as known from heartbeats, for the exchange of rate limits and drains. */
 final class FleetLimitPeers implements LimitPeers {
 
     private final ServingLoop loop;
@@ -28,7 +28,7 @@
     private HeartbeatSender heartbeats;
     private HeartbeatPort port;
 
-    /** Creates peers that cannot be reached yet. */
+    /** Creates peers that cannot be reached until {@link #sendThrough} is called. */
     FleetLimitPeers(
             ServingLoop loop,
             HostId own,
@@ -46,8 +46,8 @@
         this.knownRouters = knownRouters;
     }
 
-    /** Sets what reaches the others. */
-    void tellThrough(HeartbeatSender sender, HeartbeatPort datagrams) {
+    /** Sets the senders that reach the other routers. */
+    void sendThrough(HeartbeatSender sender, HeartbeatPort datagrams) {
         heartbeats = sender;
         port = datagrams;
     }
@@ -60,20 +60,20 @@
     @Override
     public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
         long now = loop.nowMillis();
-        List<HostId> deciding = new ArrayList<>();
+        List<HostId> active = new ArrayList<>();
         List<HostId> others = new ArrayList<>();
         for (Peer peer : peers.alive(now)) {
             if (peer.ready()) {
-                (peer.takesCallers() ? deciding : others).add(peer.process().host());
+                (peer.takesCallers() ? active : others).add(peer.process().host());
             }
         }
         if (ready.getAsBoolean()) {
-            (heartbeats.takesCallers() ? deciding : others).add(own);
+            (heartbeats.takesCallers() ? active : others).add(own);
         }
-        PermitIssuerSelector kept = PermitIssuerSelector.of(
-                upstream, deciding.isEmpty() ? others : deciding, peers.silentEntryRouterCount(now));
-        boolean unsure = own.equals(kept.host()) && !start.hasPeerPlacements(knownRouters.getAsInt(), now);
-        return unsure ? new PermitIssuerSelector(null, kept.share()) : kept;
+        PermitIssuerSelector selected = PermitIssuerSelector.of(
+                upstream, active.isEmpty() ? others : active, peers.silentEntryRouterCount(now));
+        boolean incomplete = own.equals(selected.host()) && !start.hasPeerPlacements(knownRouters.getAsInt(), now);
+        return incomplete ? new PermitIssuerSelector(null, selected.share()) : selected;
     }
 
     @Override
@@ -87,8 +87,8 @@
     }
 
     @Override
-    public boolean isOver(UpstreamId upstream) {
-        return state.isOver(upstream);
+    public boolean isSuperseded(UpstreamId upstream) {
+        return state.isSuperseded(upstream);
     }
 
     @Override
@@ -97,8 +97,8 @@
     }
 
     @Override
-    public void tellStandBy(NewsFrame frame) {
-        heartbeats.sendToStandBy(EncodedFrame.of(frame));
+    public void sendToStandby(NewsFrame frame) {
+        heartbeats.sendToStandby(EncodedFrame.of(frame));
     }
 
     @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHandler.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHandler.java
@@ -4,27 +4,27 @@
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.NewsReply;
 
-/** Takes what other routers tell; called on the event loop. */
+/** Handles the messages of other routers; called on the event loop. */
 public interface GossipHandler {
 
     /**
-     * Takes a frame.
+     * Receives a frame.
      *
      * @param frame the frame
-     * @param stream the stream that it came on, which knows its sender
+     * @param stream the stream that it arrived on, which knows its sender
      */
     void frame(NewsFrame frame, InboundGossipStream stream);
 
     /**
-     * Answers a request for documents.
+     * Replies to a document request.
      *
-     * @param request what the peer has
-     * @return what it lacks
+     * @param request the versions that the peer has
+     * @return the documents that it lacks
      */
     NewsReply documents(DocumentRequest request);
 
     /**
-     * Takes documents that this router asked for.
+     * Receives documents that this router requested.
      *
      * @param reply the documents
      * @param source who sent them, for the log
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHub.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHub.java
@@ -27,56 +27,56 @@
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.NewsReply;
 
-/** Sends this router's news to all others and takes theirs in. */
+/** Sends this router's state updates to all others and applies theirs. */
 public final class GossipHub implements GossipHandler, PlacementGossip, AutoCloseable {
 
-    /** Addresses in the first heartbeat of a router from which on it need not be told of others: more than seeds. */
-    private static final int KNOWS_FEW = 5;
+    /** A router whose first heartbeat has fewer addresses is sent more; more than there are seeds. */
+    private static final int MIN_ADDRESSES_TO_SKIP_INTRODUCTION = 5;
 
     private final ServingLoop loop;
     private final PeerTable peers;
-    private final EngineLoadTable board;
+    private final EngineLoadTable loadTable;
     private final PublishedState state;
     private final DecisionLog log;
     private final DocumentExchange documents;
-    private final OutboundGossipStreams links;
-    private final MembershipLog heardLog;
+    private final OutboundGossipStreams streams;
+    private final MembershipLog membershipLog;
     private final FleetLimitPeers limitPeers;
     private final UpstreamGossip upstreams;
     private final RequestRate requests;
-    private final InFlightPlacements open = new InFlightPlacements();
+    private final InFlightPlacements inFlight = new InFlightPlacements();
     private final StartPhase start;
     private final PlacementReceiver placements;
     private final BooleanSupplier ready;
     private final BooleanSupplier readsPlatform;
     private HeartbeatSender heartbeats;
-    private PlatformGossip readings;
-    private NewsFrame.Builder pending;
-    private long spanMillis;
+    private PlatformGossip platformGossip;
+    private NewsFrame.Builder collectedFrame;
+    private long rateIntervalStartMillis;
     private boolean closed;
 
     /**
      * Creates a hub that sends nothing yet.
      *
-     * @param loop the thread
-     * @param peers takes heartbeats
-     * @param board takes placements
-     * @param judge takes failures that others saw
-     * @param suspects takes requests under which upstreams ended at others
-     * @param limits takes the rate limits that upstreams named to others
-     * @param drains takes the drains that upstreams announced to others
+     * @param loop the event loop
+     * @param peers receives heartbeats
+     * @param loadTable receives the placements of other routers
+     * @param outlierDetector receives failures that other routers observed
+     * @param suspects receives requests under which upstreams crashed at other routers
+     * @param limits receives the rate limits that upstreams advertised to other routers
+     * @param drains receives the drains that upstreams announced to other routers
      * @param own this router's host
-     * @param state takes documents that others know
-     * @param log takes changes of what is believed
-     * @param ready whether this router takes callers
-     * @param readsPlatform whether the platform answers this router, and it follows
-     * @param whenBehind called when peers know more than the platform told here
+     * @param state receives documents that peers know
+     * @param log receives changes of membership and state
+     * @param ready whether this router can serve callers
+     * @param readsPlatform whether this router follows the platform and gets responses
+     * @param onBehind called when peers know more than the platform has reported to this router
      */
     public GossipHub(
             ServingLoop loop,
             PeerTable peers,
-            EngineLoadTable board,
-            OutlierDetector judge,
+            EngineLoadTable loadTable,
+            OutlierDetector outlierDetector,
             SuspectTable suspects,
             LimitTable limits,
             DrainTable drains,
@@ -85,118 +85,118 @@
             DecisionLog log,
             BooleanSupplier ready,
             BooleanSupplier readsPlatform,
-            Runnable whenBehind) {
+            Runnable onBehind) {
         this.loop = loop;
         this.peers = peers;
-        this.board = board;
+        this.loadTable = loadTable;
         this.state = state;
         this.log = log;
         this.ready = ready;
         this.readsPlatform = readsPlatform;
-        this.documents = new DocumentExchange(loop, state, log, whenBehind);
-        this.links = new OutboundGossipStreams(loop, peers, this::allNews);
-        this.heardLog = new MembershipLog(log);
+        this.documents = new DocumentExchange(loop, state, log, onBehind);
+        this.streams = new OutboundGossipStreams(loop, peers, this::fullState);
+        this.membershipLog = new MembershipLog(log);
         this.start = new StartPhase(loop.nowMillis());
-        this.placements = new PlacementReceiver(board, judge, state, start);
+        this.placements = new PlacementReceiver(loadTable, outlierDetector, state, start);
         this.limitPeers = new FleetLimitPeers(loop, own, peers, state, start, ready, this::knownRouters);
         this.upstreams = new UpstreamGossip(
-                new SuspectChannel(loop, suspects, log, this::news, this::activePeers),
-                new LimitChannel(loop, limits, limitPeers, log, this::news),
-                new DrainChannel(loop, drains, limitPeers, log, this::news));
-        this.spanMillis = loop.nowMillis();
-        this.requests = new RequestRate(spanMillis);
+                new SuspectChannel(loop, suspects, log, this::pendingFrame, this::activePeers),
+                new LimitChannel(loop, limits, limitPeers, log, this::pendingFrame),
+                new DrainChannel(loop, drains, limitPeers, log, this::pendingFrame));
+        this.rateIntervalStartMillis = loop.nowMillis();
+        this.requests = new RequestRate(rateIntervalStartMillis);
     }
 
     /**
-     * Begins to send heartbeats.
+     * Starts sending heartbeats.
      *
-     * @param identity who this router is
-     * @param port sends and takes heartbeats of routers to which no stream is open
+     * @param self identity and addresses of this router
+     * @param port sends and receives datagrams
      */
-    public void start(RouterIdentity identity, HeartbeatPort port) {
-        port.take(this::datagram);
-        OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, ready, requests, readsPlatform);
-        peers.addAddress(identity.peerAddress());
+    public void start(RouterIdentity self, HeartbeatPort port) {
+        port.onFrame(this::datagram);
+        OwnHeartbeat own = new OwnHeartbeat(loop, self, peers, state, ready, requests, readsPlatform);
+        peers.addAddress(self.peerAddress());
         heartbeats = new HeartbeatSender(
-                this, own, peers, links, port, start, identity.peerAddress(), this::intervalMillis, upstreams::any);
-        upstreams.suspects().tellThrough(heartbeats);
-        limitPeers.tellThrough(heartbeats, port);
-        readings =
-                new PlatformGossip(loop, this, state, documents, links, heartbeats, readsPlatform, this::knownRouters);
-        beat();
-        loop.scheduleWithFixedDelay(PlatformReaderSelection.HEARTBEAT_MILLIS, readings::tell);
+                this, own, peers, streams, port, start, self.peerAddress(), this::intervalMillis, upstreams::hasState);
+        upstreams.suspects().sendThrough(heartbeats);
+        limitPeers.sendThrough(heartbeats, port);
+        platformGossip = new PlatformGossip(
+                loop, this, state, documents, streams, heartbeats, readsPlatform, this::knownRouters);
+        sendHeartbeats();
+        loop.scheduleWithFixedDelay(PlatformReaderSelection.HEARTBEAT_MILLIS, platformGossip::sendHeartbeats);
     }
 
-    /** Tells the routers of this data centre at once if more of the platform is known than they were told of. */
-    public void tellNewReadings() {
-        readings.tellChanges();
+    /** Reports the known platform versions to the routers of this data centre if they changed. */
+    public void reportPlatformChanges() {
+        platformGossip.reportChanges();
     }
 
     /**
-     * Returns how many routers follow the platform at the same time, about.
+     * Returns the approximate number of routers that follow the platform at the same time.
      *
      * @return all of a small fleet, one of each data centre of a large one
      */
     public int platformReaders() {
-        return readings == null ? 1 : readings.readers();
+        return platformGossip == null ? 1 : platformGossip.readers();
     }
 
     /**
-     * Tells whether this router has to follow the platform itself.
+     * Returns whether this router has to follow the platform itself.
      *
      * @return whether the fleet is small, or no other router of this data centre does so for it
      */
     public boolean mustReadPlatform() {
-        return readings == null || readings.mustRead();
+        return platformGossip == null || platformGossip.mustReadPlatform();
     }
 
-    /** Sends a heartbeat and plans the next. */
-    private void beat() {
+    /** Sends the heartbeats of a round and schedules the next one. */
+    private void sendHeartbeats() {
         if (closed) {
             return;
         }
         long now = loop.nowMillis();
-        peers.expire(now).forEach(gone -> removeProcess(gone, now));
-        heardLog.note(peers.alive(now));
-        if (now - spanMillis >= StartPhase.HEARTBEAT_MILLIS) {
-            spanMillis = now;
+        peers.expire(now).forEach(removed -> removeProcess(removed, now));
+        membershipLog.update(peers.alive(now));
+        if (now - rateIntervalStartMillis >= StartPhase.HEARTBEAT_MILLIS) {
+            rateIntervalStartMillis = now;
             requests.endInterval(now);
         }
-        heartbeats.beat(now);
-        loop.schedule(intervalMillis(), this::beat);
+        heartbeats.sendHeartbeats(now);
+        loop.schedule(intervalMillis(), this::sendHeartbeats);
     }
 
-    /** Forgets what a router was doing that is gone. */
-    private void removeProcess(ProcessId gone, long nowMillis) {
-        board.removeProcess(gone, nowMillis);
-        upstreams.suspects().removeProcess(gone);
+    /** Drops the placements and trials of a router process that has ended. */
+    private void removeProcess(ProcessId removed, long nowMillis) {
+        loadTable.removeProcess(removed, nowMillis);
+        upstreams.suspects().removeProcess(removed);
     }
 
-    /** Returns the time between two heartbeats. */
+    /** Returns the interval between heartbeats, in milliseconds. */
     private long intervalMillis() {
         return start.heartbeatMillis(knownRouters(), loop.nowMillis());
     }
 
     /**
-     * Sends a heartbeat to all routers now, as when this one stops, and over all open streams too: were its datagram
-     * lost, a router that stops would be named to callers for another interval.
+     * Sends a heartbeat to all routers now, also over all open streams: if a datagram were lost, a stopping router
+     * would be listed for callers for another interval.
      */
     public void heartbeat() {
-        heartbeats.beatToAll(loop.nowMillis());
+        heartbeats.sendToAllRouters(loop.nowMillis());
     }
 
     /**
-     * Returns this router as others hear of it.
+     * Returns this router as heartbeats describe it.
      *
-     * @return what the next heartbeat says
+     * @return the content of the next heartbeat
      */
     public Peer ownPeer() {
         return heartbeats.peer();
     }
 
-    /** Takes a datagram in. */
+    /** Receives a datagram. */
     private void datagram(NewsFrame frame, Address sender) {
-        take(frame, new InboundGossipStream(), sender);
+        receive(frame, new InboundGossipStream(), sender);
     }
 
     @Override
@@ -205,43 +205,43 @@
             loop.execute(() -> frame(frame, stream));
             return;
         }
-        take(frame, stream, null);
+        receive(frame, stream, null);
     }
 
-    /** Takes news in; the sender is {@code null} if they came over a stream. */
-    private void take(NewsFrame frame, InboundGossipStream stream, Address sender) {
+    /** Applies a state update; the sender is {@code null} if it came over a stream. */
+    private void receive(NewsFrame frame, InboundGossipStream stream, Address sender) {
         try {
             if (frame.hasHeartbeat() && heartbeats != null) {
-                takeHeartbeat(frame.getHeartbeat(), stream);
+                receiveHeartbeat(frame.getHeartbeat(), stream);
             }
             if (stream.sender() != null) {
-                placements.take(frame, stream.sender(), loop.nowMillis());
+                placements.receive(frame, stream.sender(), loop.nowMillis());
             }
-            upstreams.take(frame, stream.sender(), sender);
-            placements.takeAvoided(frame, loop.nowMillis());
+            upstreams.receive(frame, stream.sender(), sender);
+            placements.receiveAvoided(frame, loop.nowMillis());
         } catch (ApricotException e) {
             log.line("news_rejected").put("problem", e.getMessage()).write();
         }
     }
 
-    /** Takes a heartbeat in. */
-    private void takeHeartbeat(Heartbeat beat, InboundGossipStream stream) {
+    /** Applies a heartbeat. */
+    private void receiveHeartbeat(Heartbeat heartbeat, InboundGossipStream stream) {
         long now = loop.nowMillis();
-        ProcessId process = new ProcessId(new HostId(beat.getHost()), beat.getIncarnation());
+        ProcessId process = new ProcessId(new HostId(heartbeat.getHost()), heartbeat.getIncarnation());
         stream.sender(process);
-        Peer peer = GossipMessages.peer(process, beat);
-        boolean isNew = links.heard(peer);
-        ProcessId before = peers.recordHeartbeat(peer, now);
-        if (before != null) {
-            removeProcess(before, now);
+        Peer peer = GossipMessages.peer(process, heartbeat);
+        boolean isNew = streams.reported(peer);
+        ProcessId previous = peers.recordHeartbeat(peer, now);
+        if (previous != null) {
+            removeProcess(previous, now);
         }
-        beat.getPeerAddressesList().forEach(address -> peers.addAddress(Address.parse(address)));
-        readings.heard(peer, beat.getReadsPlatform(), beat.getUpstreamsListed());
+        heartbeat.getPeerAddressesList().forEach(address -> peers.addAddress(Address.parse(address)));
+        platformGossip.recordPeer(peer, heartbeat.getReadsPlatform(), heartbeat.getUpstreamsListed());
         if (!heartbeats.takesCallers()) {
-            beat.getSilentHostsList().forEach(host -> peers.reportedSilent(new HostId(host), now));
+            heartbeat.getSilentHostsList().forEach(host -> peers.reportedSilent(new HostId(host), now));
         }
         heartbeats.openTo(peer);
-        if (isNew && beat.getPeerAddressesCount() < KNOWS_FEW) {
+        if (isNew && heartbeat.getPeerAddressesCount() < MIN_ADDRESSES_TO_SKIP_INTRODUCTION) {
             heartbeats.introduce(peer);
         }
     }
@@ -253,37 +253,37 @@
 
     @Override
     public void reply(NewsReply reply, String source) {
-        documents.take(reply, source);
+        documents.receive(reply, source);
     }
 
     @Override
     public void placed(EnginePlacement placement, long limitMillis) {
         requests.count();
-        open.place(placement, limitMillis, loop.nowMillis());
-        heartbeats.placed();
-        news().addPlaced(GossipMessages.placed(placement, limitMillis));
+        inFlight.place(placement, limitMillis, loop.nowMillis());
+        heartbeats.onPlacement();
+        pendingFrame().addPlaced(GossipMessages.placed(placement, limitMillis));
     }
 
     @Override
     public void decodeStarted(EnginePlacement placement) {
-        open.startDecoding(placement.id());
-        news().addWriting(placement.id().number());
+        inFlight.startDecoding(placement.id());
+        pendingFrame().addWriting(placement.id().number());
     }
 
     @Override
     public void ended(EnginePlacement placement) {
-        open.remove(placement.id());
-        news().addEnded(placement.id().number());
+        inFlight.remove(placement.id());
+        pendingFrame().addEnded(placement.id().number());
     }
 
     @Override
     public void avoided(UpstreamId upstream, long avoidMillis) {
-        news().addAvoided(GossipMessages.avoided(upstream, avoidMillis));
+        pendingFrame().addAvoided(GossipMessages.avoided(upstream, avoidMillis));
     }
 
     @Override
     public void drainChanged(UpstreamId upstream) {
-        upstreams.drains().tell(upstream);
+        upstreams.drains().broadcast(upstream);
     }
 
     @Override
@@ -291,13 +291,13 @@
         return start.hasPeerPlacements(knownRouters(), loop.nowMillis());
     }
 
-    /** Writes all that is open and suspected, for a router that missed news. */
-    private NewsFrame allNews() {
+    /** Encodes all in-flight placements and all state of upstreams, for a router that missed updates. */
+    private NewsFrame fullState() {
         NewsFrame.Builder frame = NewsFrame.newBuilder().setWhole(true);
-        for (InFlightPlacements.Entry one : open.at(loop.nowMillis())) {
-            frame.addPlaced(GossipMessages.placed(one.placement(), one.limitMillis()));
-            if (one.decoding()) {
-                frame.addWriting(one.placement().id().number());
+        for (InFlightPlacements.Entry entry : inFlight.at(loop.nowMillis())) {
+            frame.addPlaced(GossipMessages.placed(entry.placement(), entry.limitMillis()));
+            if (entry.decoding()) {
+                frame.addWriting(entry.placement().id().number());
             }
         }
         upstreams.addAll(frame);
@@ -305,7 +305,7 @@
     }
 
     /**
-     * Returns what tells others of suspected requests.
+     * Returns the exchange of suspected requests.
      *
      * @return the channel
      */
@@ -314,7 +314,7 @@
     }
 
     /**
-     * Returns what tells others of rate limits, and asks them for permits.
+     * Returns the exchange of rate limits and permits.
      *
      * @return the channel
      */
@@ -322,24 +322,24 @@
         return upstreams.limits();
     }
 
-    /** Returns the frame that is sent at the end of this turn of the loop. */
-    private NewsFrame.Builder news() {
-        if (pending == null) {
-            pending = NewsFrame.newBuilder();
+    /** Returns the frame that is sent at the end of this turn of the event loop. */
+    private NewsFrame.Builder pendingFrame() {
+        if (collectedFrame == null) {
+            collectedFrame = NewsFrame.newBuilder();
             loop.execute(this::flush);
         }
-        return pending;
+        return collectedFrame;
     }
 
-    /** Sends what was collected. */
+    /** Sends the collected updates. */
     private void flush() {
-        EncodedFrame frame = EncodedFrame.of(pending.build());
-        pending = null;
-        links.sendToDeciding(frame);
+        EncodedFrame frame = EncodedFrame.of(collectedFrame.build());
+        collectedFrame = null;
+        streams.sendToActive(frame);
     }
 
     /**
-     * Returns how many routers are known, alive or not, with this one.
+     * Returns the number of known routers, alive or not, including this one.
      *
      * @return routers
      */
@@ -348,53 +348,53 @@
     }
 
     /**
-     * Tells whether this router said in its last heartbeat that it decides on requests.
+     * Returns whether this router was active according to its last heartbeat.
      *
-     * @return whether others tell it of placements
+     * @return whether other routers report placements to it
      */
     public boolean takesCallers() {
         return heartbeats != null && heartbeats.takesCallers();
     }
 
     /**
-     * Returns how many other routers can be told of placements now.
+     * Returns the number of other active routers that can receive placements now.
      *
      * @return routers
      */
     public int placementReceivers() {
-        return links.openToDeciding();
+        return streams.openToActive();
     }
 
     /**
-     * Returns how many other routers are known to decide on requests.
+     * Returns the number of other active routers.
      *
      * @return routers
      */
     public int activePeers() {
-        return links.deciding();
+        return streams.active();
     }
 
     /**
-     * Returns how many streams of news to other routers there are, open or not.
+     * Returns the number of outbound gossip streams, open or not.
      *
      * @return streams
      */
     public int streams() {
-        return links.size();
+        return streams.size();
     }
 
     /**
-     * Returns how many placements of other routers were heard of.
+     * Returns the number of placements received from other routers.
      *
      * @return placements since the start
      */
     public long placementsReceived() {
-        return placements.heard();
+        return placements.received();
     }
 
     @Override
     public void close() {
         closed = true;
-        links.close();
+        streams.close();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipMessages.java
@@ -18,28 +18,28 @@
 import org.apricotstack.wire.news.Placed;
 import org.apricotstack.wire.news.PublishedDocument;
 
-/** Translates between what routers tell each other and the types of the core. */
+/** Converts between wire messages and the types of the core. */
 final class GossipMessages {
 
     private GossipMessages() {}
 
-    /** Reads what a router says of itself. */
-    static Peer peer(ProcessId process, Heartbeat beat) {
+    /** Decodes the heartbeat of a router. */
+    static Peer peer(ProcessId process, Heartbeat heartbeat) {
         return new Peer(
                 process,
-                new DataCentreId(beat.getDataCentre()),
-                Address.parse(beat.getCallerAddress()),
-                Address.parse(beat.getPeerAddress()),
-                beat.getReady(),
-                beat.getConfigurationVersion(),
-                beat.getUpstreamsRevision(),
-                beat.getCapacityPercent(),
-                beat.getRequestsPerSecond(),
-                beat.getTakesCallers(),
-                beat.getNextMillis());
+                new DataCentreId(heartbeat.getDataCentre()),
+                Address.parse(heartbeat.getCallerAddress()),
+                Address.parse(heartbeat.getPeerAddress()),
+                heartbeat.getReady(),
+                heartbeat.getConfigurationVersion(),
+                heartbeat.getUpstreamsRevision(),
+                heartbeat.getCapacityPercent(),
+                heartbeat.getRequestsPerSecond(),
+                heartbeat.getTakesCallers(),
+                heartbeat.getNextMillis());
     }
 
-    /** Writes what this router says of itself. */
+    /** Encodes the heartbeat of this router. */
     static Heartbeat.Builder heartbeat(Peer own) {
         return Heartbeat.newBuilder()
                 .setHost(own.process().host().value())
@@ -56,7 +56,7 @@
                 .setNextMillis((int) own.nextHeartbeatMillis());
     }
 
-    /** Reads a placement of another router. */
+    /** Decodes a placement of another router. */
     static EnginePlacement placement(ProcessId sender, Placed placed) {
         List<EnginePart> parts = placed.getPartsList().stream()
                 .map(part -> new EnginePart(
@@ -72,7 +72,7 @@
                 placed.getPauseTargetMillis());
     }
 
-    /** Writes a placement. */
+    /** Encodes a placement. */
     static Placed placed(EnginePlacement placement, long limitMillis) {
         Placed.Builder placed = Placed.newBuilder()
                 .setNumber(placement.id().number())
@@ -90,7 +90,7 @@
         return placed.build();
     }
 
-    /** Writes that an upstream failed. */
+    /** Encodes that an upstream failed. */
     static Avoided avoided(UpstreamId upstream, long avoidMillis) {
         return Avoided.newBuilder()
                 .setUpstream(upstream.value())
@@ -99,19 +99,19 @@
                 .build();
     }
 
-    /** Reads which upstream failed at a peer. */
+    /** Decodes which upstream failed at a peer. */
     static UpstreamId upstream(Avoided avoided) {
         return new UpstreamId(avoided.getUpstream(), avoided.getIncarnation());
     }
 
-    /** Reads a document; one without a name is the configuration. */
+    /** Decodes a document; one without a name is the configuration. */
     static Publication publication(PublishedDocument document) {
         UpstreamId upstream = document.getName().isEmpty() ? null : new UpstreamId(document.getName());
         return new Publication(
                 upstream, document.getRevision(), document.getContent().toByteArray(), false);
     }
 
-    /** Writes a document. */
+    /** Encodes a document. */
     static PublishedDocument document(Publication publication) {
         return PublishedDocument.newBuilder()
                 .setName(
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipPeers.java
@@ -3,18 +3,18 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** What news of upstreams need of the other routers. */
+/** The other routers, as the exchange of upstream state uses them. */
 interface GossipPeers {
 
-    /** Returns how many other routers there are. */
+    /** Returns the number of other routers. */
     int others();
 
-    /** Tells whether a start of an upstream is known to be over. */
-    boolean isOver(UpstreamId upstream);
+    /** Returns whether an incarnation of an upstream was superseded by a later one. */
+    boolean isSuperseded(UpstreamId upstream);
 
-    /** Opens streams to all routers that decide on requests. */
+    /** Opens streams to all active routers. */
     void openStreams();
 
-    /** Sends something to all routers to which no streams are kept. */
-    void tellStandBy(NewsFrame frame);
+    /** Sends a datagram to all standby routers. */
+    void sendToStandby(NewsFrame frame);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipServer.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipServer.java
@@ -18,26 +18,26 @@
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** Takes the streams of other routers. */
+/** Accepts the gossip streams of other routers. */
 public final class GossipServer implements AutoCloseable {
 
     private static final byte[] EMPTY_REPLY = {};
 
-    private final GossipHandler sink;
+    private final GossipHandler handler;
     private final Channel listening;
     private final ChannelGroup streams;
     private long malformed;
 
     /**
-     * Listens.
+     * Starts listening.
      *
-     * @param loop the thread
-     * @param address where
-     * @param sink takes the news
+     * @param loop the event loop
+     * @param address the address to listen on
+     * @param handler receives the frames
      * @throws ApricotException with {@link ErrorCode#ENVIRONMENT} if the address cannot be used
      */
-    public GossipServer(ServingLoop loop, Address address, GossipHandler sink) {
-        this.sink = sink;
+    public GossipServer(ServingLoop loop, Address address, GossipHandler handler) {
+        this.handler = handler;
         streams = new DefaultChannelGroup(loop.loop());
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop.group())
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Returns how many streams ended because of bytes that are no news.
+     * Returns the number of streams that were closed because of bytes that could not be parsed.
      *
      * @return streams since the start
      */
@@ -81,7 +81,7 @@
         streams.close();
     }
 
-    /** Takes one stream. */
+    /** Receives one stream. */
     private final class Receiver extends SimpleChannelInboundHandler<NewsFrame> {
 
         private final InboundGossipStream stream = new InboundGossipStream();
@@ -93,14 +93,15 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, NewsFrame frame) {
-            sink.frame(frame, stream);
+            handler.frame(frame, stream);
             if (!frame.hasDocuments()) {
                 if (frame.hasHeartbeat()) {
                     context.write(Unpooled.wrappedBuffer(EMPTY_REPLY), context.voidPromise());
                 }
             } else if (context.channel().isWritable()) {
-                // A peer that does not read would otherwise fill the memory with documents; it asks again later.
-                byte[] reply = sink.documents(frame.getDocuments()).toByteArray();
+                // Otherwise a peer that does not read its replies would fill the memory with documents; it asks again
+                // later.
+                byte[] reply = handler.documents(frame.getDocuments()).toByteArray();
                 context.write(Unpooled.wrappedBuffer(reply), context.voidPromise());
             }
         }
@@ -115,7 +116,7 @@
             if (cause instanceof DecoderException) {
                 malformed++;
             }
-            // A stream that was reset needs no more: the peer's silence is noticed by its missing heartbeats.
+            // A reset needs no further handling: missing heartbeats reveal that the peer is silent.
             context.close();
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatPort.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatPort.java
@@ -18,23 +18,23 @@
 import org.apricotstack.wire.news.NewsFrame;
 
 /**
- * Sends and takes heartbeats, and questions for permits, as datagrams, so that a large fleet needs no connection
- * between any two of its routers.
+ * Sends and receives heartbeats and permit requests as datagrams, so that a large fleet needs no connection between
+ * each pair of routers.
  *
- * <p>A datagram may be lost; the next heartbeat makes up for it. What must arrive goes over an
- * {@link OutboundGossipStream}.
+ * <p>A datagram may be lost; the next heartbeat makes up for it. What must arrive goes over an {@link
+ * OutboundGossipStream}.
  */
 public final class HeartbeatPort implements AutoCloseable {
 
     private final Channel channel;
-    private BiConsumer<NewsFrame, Address> taker = (frame, sender) -> {};
+    private BiConsumer<NewsFrame, Address> listener = (frame, sender) -> {};
     private long malformed;
 
     /**
-     * Listens on the port on which streams of news are taken too.
+     * Binds the UDP port with the same number as the TCP port for gossip streams.
      *
-     * @param loop the thread
-     * @param address where
+     * @param loop the event loop
+     * @param address the address to bind
      * @throws ApricotException with {@link ErrorCode#ENVIRONMENT} if the address cannot be used
      */
     public HeartbeatPort(ServingLoop loop, Address address) {
@@ -47,15 +47,15 @@
         if (!bound.isSuccess()) {
             throw new ApricotException(
                     ErrorCode.ENVIRONMENT,
-                    "Cannot take datagrams on " + address + "; end the program that uses it.",
+                    "Cannot receive datagrams on " + address + "; end the program that uses it.",
                     bound.cause());
         }
         channel = bound.channel();
     }
 
-    /** Sets who takes datagrams and where they came from; called on the event loop. */
-    void take(BiConsumer<NewsFrame, Address> newTaker) {
-        taker = newTaker;
+    /** Sets the listener for frames and their senders; it is called on the event loop. */
+    void onFrame(BiConsumer<NewsFrame, Address> newListener) {
+        listener = newListener;
     }
 
     /** Sends a heartbeat. */
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Returns where it listens.
+     * Returns the bound address.
      *
-     * @return the address, with the port that was chosen
+     * @return the address, with the port that the system chose if none was given
      */
     public Address address() {
         InetSocketAddress local = (InetSocketAddress) channel.localAddress();
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Returns how many datagrams were no heartbeats.
+     * Returns the number of datagrams that could not be parsed.
      *
      * @return datagrams since the start
      */
@@ -89,7 +89,7 @@
         channel.close();
     }
 
-    /** Reads datagrams. */
+    /** Parses datagrams. */
     @ChannelHandler.Sharable
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
 
@@ -98,7 +98,7 @@
             try {
                 InetSocketAddress sender = packet.sender();
                 Address from = new Address(sender.getAddress().getHostAddress(), sender.getPort());
-                taker.accept(NewsFrame.parseFrom(packet.content().nioBuffer()), from);
+                listener.accept(NewsFrame.parseFrom(packet.content().nioBuffer()), from);
             } catch (InvalidProtocolBufferException e) {
                 malformed++;
             }
@@ -106,8 +106,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A host that is gone makes the kernel report an error for the datagram that was sent to it. Its silence is
-            // noticed by its missing heartbeats; the port goes on serving all others.
+            // For a dead host the kernel reports an error on the socket that sent the datagram. Its missing
+            // heartbeats reveal the failure; this port keeps serving all others.
         }
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatSender.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/HeartbeatSender.java
@@ -8,235 +8,237 @@
 import org.apricotstack.core.peer.PeerTable;
 
 /**
- * Tells the other routers that this one is there, each of them as often as it needs to know.
+ * Sends this router's heartbeats, to each other router only as often as that router needs them.
  *
- * <p>Routers that decide on requests keep streams between each other from their first placement on, since each
- * placement has to arrive; all else goes in datagrams. Without a placement a stream would be opened for nothing:
- * routers that start together all take themselves for part of a small fleet at first, and 83 of them would open some 80
- * streams each.
+ * <p>Active routers keep streams to each other from their first placement on, since each placement has to arrive;
+ * everything else goes in datagrams. Opening streams before there is a placement would be wasted: routers that start
+ * together all assume a small fleet at first, so that each of 83 would open some 80 streams.
  */
 final class HeartbeatSender {
 
     /**
-     * Beats after which a router tells those that may learn late that it is there: one that stands by those of its data
-     * centre that decide, since nobody is sent to it; one that decides those that stand by elsewhere, since they rarely
-     * send callers to it.
+     * Rounds between heartbeats to routers that may learn late that this one is alive: from a standby router to the
+     * active ones of its data centre, since no callers are sent to it; from an active router to standby ones
+     * elsewhere, since they rarely send callers to it.
      */
-    private static final int SLOW_BEATS = 3;
+    private static final int SLOW_ROUNDS = 3;
 
     /**
-     * Beats after which a router that stands by tells others of its data centre that stand by, and those that decide
-     * elsewhere. Of its loss they hear from those that decide in its data centre.
+     * Rounds between heartbeats from a standby router to standby ones of its data centre and to active ones elsewhere.
+     * They learn of its loss from the active routers of its data centre.
      */
-    private static final int RARE_BEATS = 12;
+    private static final int RARE_ROUNDS = 12;
 
     /**
-     * Beats after which two routers that stand by in different data centres tell each other, so that they go on to know
-     * how large the fleet is. With the others this leaves a third of all heartbeats in a fleet of 83 in three data
-     * centres of which 15 decide (1,140 instead of 3,746 a beat, worked out), and a fifth of those between data
+     * Rounds between heartbeats of two standby routers in different data centres, which they need to know the size of
+     * the fleet. Together these intervals leave a third of all heartbeats in a fleet of 83 routers in three data
+     * centres with 15 active ones (calculated: 1,140 instead of 3,746 a round), and a fifth of those between data
      * centres.
      */
-    private static final int DISTANT_BEATS = 48;
+    private static final int DISTANT_ROUNDS = 48;
 
-    private final GossipHandler sink;
+    private final GossipHandler handler;
     private final OwnHeartbeat own;
     private final PeerTable peers;
-    private final OutboundGossipStreams links;
+    private final OutboundGossipStreams streams;
     private final HeartbeatPort port;
     private final StartPhase start;
     private final Address ownAddress;
     private final LongSupplier intervalMillis;
-    private final BooleanSupplier hasNews;
+    private final BooleanSupplier hasUpdates;
     private boolean takesCallers;
     private boolean ready;
-    private boolean tellsPlacements;
-    private long beats;
+    private boolean reportsPlacements;
+    private long rounds;
 
-    /** Creates a sender that has told nobody. */
+    /** Creates a sender that has sent no heartbeat yet. */
     HeartbeatSender(
-            GossipHandler sink,
+            GossipHandler handler,
             OwnHeartbeat own,
             PeerTable peers,
-            OutboundGossipStreams links,
+            OutboundGossipStreams streams,
             HeartbeatPort port,
             StartPhase start,
             Address ownAddress,
             LongSupplier intervalMillis,
-            BooleanSupplier hasNews) {
-        this.sink = sink;
+            BooleanSupplier hasUpdates) {
+        this.handler = handler;
         this.own = own;
         this.peers = peers;
-        this.links = links;
+        this.streams = streams;
         this.port = port;
         this.start = start;
         this.ownAddress = ownAddress;
         this.intervalMillis = intervalMillis;
-        this.hasNews = hasNews;
+        this.hasUpdates = hasUpdates;
     }
 
-    /** Tells whether this router said in its last heartbeat that it decides on requests. */
+    /** Returns whether this router was active according to its last heartbeat. */
     boolean takesCallers() {
         return takesCallers;
     }
 
-    /** Tells whether others that decide on requests have to hear of what this router places. */
-    boolean tellsPlacements() {
-        return tellsPlacements;
+    /** Returns whether other active routers have to receive the placements of this one. */
+    boolean reportsPlacements() {
+        return reportsPlacements;
     }
 
-    /** Returns this router as others hear of it. */
+    /** Returns this router as heartbeats describe it. */
     Peer peer() {
         return own.peer(true, intervalMillis.getAsLong());
     }
 
-    /** Sends a heartbeat to those whose turn it is. */
-    void beat(long nowMillis) {
-        beats++;
+    /** Starts a round: sends a heartbeat to each router that is due one. */
+    void sendHeartbeats(long nowMillis) {
+        rounds++;
         own.nextRound();
         send(false, nowMillis);
     }
 
     /** Sends a heartbeat to all routers, and over all streams too, as a datagram may be lost. */
-    void beatToAll(long nowMillis) {
+    void sendToAllRouters(long nowMillis) {
         send(true, nowMillis);
-        links.sendToAll(own.frame(takesCallers, intervalMillis.getAsLong()));
+        streams.sendToAll(own.frame(takesCallers, intervalMillis.getAsLong()));
     }
 
-    /** Sends a heartbeat to the routers of this data centre, which rely on what this one reads of the platform. */
-    void beatToDataCentre() {
+    /** Sends a heartbeat to the routers of this data centre, which rely on this one to follow the platform. */
+    void sendToDataCentre() {
         EncodedFrame frame = greeting();
-        for (Address address : links.addressesIn(own.dataCentre())) {
+        for (Address address : streams.addressesIn(own.dataCentre())) {
             if (!address.equals(ownAddress)) {
                 port.send(address, frame);
             }
         }
     }
 
-    /** Sends a heartbeat to those whose turn it is, or to all, as when it says something else than the last one. */
+    /** Sends a heartbeat to each router that is due one, or to all if forced or if its content changed. */
     private void send(boolean toAll, long nowMillis) {
-        boolean everywhere = update(nowMillis) || toAll;
-        Round round = round(everywhere, start.isYoung(nowMillis));
+        boolean changedOrForced = update(nowMillis) || toAll;
+        Round round = round(changedOrForced, start.isStarting(nowMillis));
         for (Address address : peers.addresses()) {
             if (!address.equals(ownAddress)) {
                 sendTo(address, round);
             }
         }
-        links.retain(peers.addresses());
+        streams.retainAll(peers.addresses());
     }
 
     /**
-     * The heartbeats of one beat; {@code null} for those whose turn it is not.
+     * The heartbeats of one round; {@code null} for a group of routers that is not due one.
      *
-     * @param toDeciding for routers of this data centre that decide on requests
-     * @param toDecidingElsewhere for those of other data centres
-     * @param toStandBy for routers of this data centre that stand by
-     * @param toStandByElsewhere for those of other data centres
+     * @param toActive for active routers of this data centre
+     * @param toActiveElsewhere for active routers of other data centres
+     * @param toStandby for standby routers of this data centre
+     * @param toStandbyElsewhere for standby routers of other data centres
      */
     private record Round(
-            EncodedFrame toDeciding,
-            EncodedFrame toDecidingElsewhere,
-            EncodedFrame toStandBy,
-            EncodedFrame toStandByElsewhere) {}
-
-    /** Writes the heartbeats of this beat; a router that has just started hurries to be heard. */
-    private Round round(boolean everywhere, boolean young) {
-        boolean hurries = everywhere || young;
-        boolean slow = everywhere || beats % SLOW_BEATS == 0;
-        boolean rare = young ? slow : everywhere || beats % RARE_BEATS == 0;
-        boolean distant = young ? slow : everywhere || beats % DISTANT_BEATS == 0;
+            EncodedFrame toActive,
+            EncodedFrame toActiveElsewhere,
+            EncodedFrame toStandby,
+            EncodedFrame toStandbyElsewhere) {}
+
+    /**
+     * Encodes the heartbeats of this round. A router that has just started sends more of them, so that others know it
+     * soon.
+     */
+    private Round round(boolean changedOrForced, boolean starting) {
+        boolean immediate = changedOrForced || starting;
+        boolean slow = changedOrForced || rounds % SLOW_ROUNDS == 0;
+        boolean rare = starting ? slow : changedOrForced || rounds % RARE_ROUNDS == 0;
+        boolean distant = starting ? slow : changedOrForced || rounds % DISTANT_ROUNDS == 0;
         if (takesCallers) {
-            EncodedFrame often = frame(true, 1);
-            return new Round(often, often, often, frame(slow || hurries, SLOW_BEATS));
+            EncodedFrame everyRound = frame(true, 1);
+            return new Round(everyRound, everyRound, everyRound, frame(slow || immediate, SLOW_ROUNDS));
         }
-        EncodedFrame seldom = frame(rare || hurries, RARE_BEATS);
+        EncodedFrame lessOften = frame(rare || immediate, RARE_ROUNDS);
         return new Round(
-                frame(slow || hurries, SLOW_BEATS), seldom, rare ? seldom : null, frame(distant, DISTANT_BEATS));
+                frame(slow || immediate, SLOW_ROUNDS),
+                lessOften,
+                rare ? lessOften : null,
+                frame(distant, DISTANT_ROUNDS));
     }
 
-    /** Writes a heartbeat after which the next one follows some beats later, if there is one now. */
-    private EncodedFrame frame(boolean now, int nextBeats) {
-        return now ? own.frame(takesCallers, intervalMillis.getAsLong() * nextBeats) : null;
+    /** Encodes a heartbeat that announces the next one after some rounds; {@code null} if none is due now. */
+    private EncodedFrame frame(boolean now, int nextRounds) {
+        return now ? own.frame(takesCallers, intervalMillis.getAsLong() * nextRounds) : null;
     }
 
-    /** Sends a router the heartbeat of this beat that is meant for it. */
+    /** Sends a router the heartbeat of its group in this round. */
     private void sendTo(Address address, Round round) {
-        Peer peer = links.heardAt(address);
-        boolean decides = peer != null && peer.takesCallers();
-        if (takesCallers && decides && (tellsPlacements || links.has(address))) {
-            links.open(address, sink).heartbeat(round.toDeciding(), intervalMillis.getAsLong());
+        Peer peer = streams.lastReported(address);
+        boolean isActive = peer != null && peer.takesCallers();
+        if (takesCallers && isActive && (reportsPlacements || streams.has(address))) {
+            streams.open(address, handler).heartbeat(round.toActive(), intervalMillis.getAsLong());
             return;
         }
-        boolean elsewhere = peer != null && !peer.dataCentre().equals(own.dataCentre());
-        EncodedFrame near = decides ? round.toDeciding() : round.toStandBy();
-        EncodedFrame far = decides ? round.toDecidingElsewhere() : round.toStandByElsewhere();
-        EncodedFrame frame = elsewhere ? far : near;
+        boolean otherDataCentre = peer != null && !peer.dataCentre().equals(own.dataCentre());
+        EncodedFrame local = isActive ? round.toActive() : round.toStandby();
+        EncodedFrame remote = isActive ? round.toActiveElsewhere() : round.toStandbyElsewhere();
+        EncodedFrame frame = otherDataCentre ? remote : local;
         if (frame != null) {
             port.send(address, frame);
         }
     }
 
-    /** Works out what this router says of itself; tells whether it is something else than before. */
+    /** Updates whether this router is active and ready; returns whether either changed. */
     private boolean update(long nowMillis) {
-        boolean takesThem = own.takesCallers(nowMillis);
+        boolean newTakesCallers = own.takesCallers(nowMillis);
         boolean isReady = own.isReady();
-        boolean changed = takesThem != takesCallers || isReady != ready;
-        takesCallers = takesThem;
+        boolean changed = newTakesCallers != takesCallers || isReady != ready;
+        takesCallers = newTakesCallers;
         ready = isReady;
-        tellsPlacements &= takesThem;
+        reportsPlacements &= newTakesCallers;
         return changed;
     }
 
-    /** Notes a placement; the first one opens streams to all routers that have to hear of it. */
-    void placed() {
-        if (!takesCallers || tellsPlacements) {
+    /** Records a placement; the first one opens streams to all active routers. */
+    void onPlacement() {
+        if (!takesCallers || reportsPlacements) {
             return;
         }
-        tellsPlacements = true;
+        reportsPlacements = true;
         openStreams();
     }
 
-    /** Opens streams to all routers that decide on requests to which there is none. */
+    /** Opens streams to all active routers that have none yet. */
     void openStreams() {
         EncodedFrame greeting = greeting();
         for (Address address : peers.addresses()) {
-            if (links.decides(address) && !address.equals(ownAddress) && !links.isOpen(address)) {
-                links.open(address, sink).heartbeat(greeting, intervalMillis.getAsLong());
+            if (streams.isActive(address) && !address.equals(ownAddress) && !streams.isOpen(address)) {
+                streams.open(address, handler).heartbeat(greeting, intervalMillis.getAsLong());
             }
         }
     }
 
-    /** Sends something to all routers that stand by, to which no news go. */
-    void sendToStandBy(EncodedFrame frame) {
+    /** Sends a datagram to all standby routers, which receive no updates over streams. */
+    void sendToStandby(EncodedFrame frame) {
         for (Address address : peers.addresses()) {
-            if (!links.decides(address) && !address.equals(ownAddress)) {
+            if (!streams.isActive(address) && !address.equals(ownAddress)) {
                 port.send(address, frame);
             }
         }
     }
 
-    /** Opens a stream to a router that has to hear of placements or of other news, if there is none. */
+    /** Opens a stream to an active router that has none yet, if there are placements or other state to report. */
     void openTo(Peer peer) {
-        boolean tells = tellsPlacements || hasNews.getAsBoolean();
-        if (tells && peer.takesCallers() && !links.isOpen(peer.peerAddress())) {
-            links.open(peer.peerAddress(), sink).heartbeat(greeting(), intervalMillis.getAsLong());
+        boolean needsStream = reportsPlacements || hasUpdates.getAsBoolean();
+        if (needsStream && peer.takesCallers() && !streams.isOpen(peer.peerAddress())) {
+            streams.open(peer.peerAddress(), handler).heartbeat(greeting(), intervalMillis.getAsLong());
         }
     }
 
-    /** Tells a router that was not heard before of the others. */
+    /** Sends the addresses of other routers to a newcomer. */
     void introduce(Peer peer) {
         port.send(peer.peerAddress(), own.introduction(takesCallers, longestMillis()));
     }
 
-    /** Returns a heartbeat that begins a stream. */
+    /** Returns a heartbeat that starts a stream. */
     EncodedFrame greeting() {
         return own.frame(takesCallers, longestMillis());
     }
 
-    /**
-     * Returns the time until the next heartbeat to whichever router of this data centre hears of this one least
-     * often.
-     */
+    /** Returns the longest interval between two heartbeats to the same router of this data centre. */
     private long longestMillis() {
-        return intervalMillis.getAsLong() * (takesCallers ? 1 : RARE_BEATS);
+        return intervalMillis.getAsLong() * (takesCallers ? 1 : RARE_ROUNDS);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/InboundGossipStream.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/InboundGossipStream.java
@@ -2,13 +2,13 @@
 
 import org.apricotstack.core.id.ProcessId;
 
-/** A stream of news that another router sends here. */
+/** A gossip stream from another router. */
 public final class InboundGossipStream {
 
     private ProcessId sender;
 
     /**
-     * Returns who sends.
+     * Returns the sender.
      *
      * @return the router process, or {@code null} before its first heartbeat
      */
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Notes who sends.
+     * Records the sender.
      *
      * @param process the router process
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
@@ -27,126 +27,141 @@
 import org.apricotstack.wire.news.PermitRequest;
 
 /**
- * Tells the other routers of rate limits that upstreams name, and asks those that keep them for permits.
+ * Reports rate limits that upstreams advertise to the other routers, and requests permits from the permit issuers.
  *
- * <p>Questions and answers go in datagrams: any router can ask any other without a stream to it, and a stream that fell
- * silent holds none of them up. One that is lost costs a permit at most. Upstreams may name a new limit with each
- * answer, so the bytes are bounded: what is told of limits and what is asked have an allowance each.
+ * <p>Permit requests and replies are datagrams: any router can ask any other one without a stream to it, and a stalled
+ * stream delays none of them. A lost one costs a permit at most. Upstreams may advertise a new limit with each
+ * response, so the traffic is bounded: reports and permits have a byte budget each.
  */
 public final class LimitChannel implements LimitGossip {
 
-    /** Time for an answer of a keeper, in milliseconds; data centres of a region are a few milliseconds apart. */
-    private static final long ANSWER_MILLIS = 120;
+    /**
+     * Timeout for the reply of a permit issuer, in milliseconds; data centres of a region are a few milliseconds
+     * apart.
+     */
+    private static final long REPLY_TIMEOUT_MILLIS = 120;
 
-    /** Bytes a second for what is told of limits, and most that add up; control has 2,000 a second for everything. */
-    private static final double TOLD_BYTES_PER_SECOND = 300;
+    /**
+     * Refill rate and maximum of the byte budget for reports of limits; all control traffic has 2,000 bytes a second.
+     */
+    private static final double REPORT_BYTES_PER_SECOND = 300;
 
-    private static final double MOST_TOLD_BYTES = 12_000;
+    private static final double MAX_REPORT_BYTES = 12_000;
 
-    /** Bytes a second for questions and answers, and most that add up. */
+    /** Refill rate and maximum of the byte budget for permit requests and replies. */
     private static final double PERMIT_BYTES_PER_SECOND = 1_000;
 
-    private static final double MOST_PERMIT_BYTES = 10_000;
+    private static final double MAX_PERMIT_BYTES = 10_000;
 
-    /** Least time between two changes of one limit that are told, in milliseconds; its keeper hears of all. */
-    private static final long CHANGE_MILLIS = 500;
+    /**
+     * Shortest time between two reported changes of one limit, in milliseconds; its permit issuer learns of all of
+     * them.
+     */
+    private static final long MIN_CHANGE_INTERVAL_MILLIS = 500;
 
-    /** Limits that a router is told of when a stream to it opens, those named last: some 3 kilobytes. */
-    private static final int MOST_TOLD_AT_ONCE = 64;
+    /**
+     * Maximum number of limits that are reported when a stream opens, most recently advertised first; about 3
+     * kilobytes.
+     */
+    private static final int MAX_REPORTED_ON_CONNECT = 64;
 
     private final ServingLoop loop;
     private final LimitTable table;
-    private final PermitIssuerService keeping;
+    private final PermitIssuerService issuerService;
     private final LimitPeers peers;
     private final DecisionLog log;
-    private final Supplier<NewsFrame.Builder> news;
-    private final TokenBucket told;
-    private final TokenBucket permits;
-    private final Map<Long, Question> open = new HashMap<>();
-    private final Map<UpstreamId, Long> toldMillis = new HashMap<>();
-    private long questions;
+    private final Supplier<NewsFrame.Builder> frameBuilder;
+    private final TokenBucket reportBudget;
+    private final TokenBucket permitBudget;
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private final Map<UpstreamId, Long> lastReportedMillis = new HashMap<>();
+    private long permitRequests;
     private long unanswered;
     private long dropped;
 
     /**
-     * A question that waits for its answer.
+     * A permit request that waits for its reply.
      *
-     * @param then takes the answer
-     * @param timeout ends it without one
+     * @param callback receives the grant, or {@code null} without a reply
+     * @param timeout ends the request without a reply
      */
-    private record Question(Consumer<PermitGrant> then, ScheduledFuture<?> timeout) {}
+    private record PendingRequest(Consumer<PermitGrant> callback, ScheduledFuture<?> timeout) {}
 
     /**
      * Creates a channel.
      *
-     * @param loop the thread
-     * @param table the limits that hold
+     * @param loop the event loop
+     * @param table the limits in force
      * @param peers the other routers
-     * @param log takes what others tell
-     * @param news the frame that is sent at the end of this turn of the loop
+     * @param log receives the changes that other routers report
+     * @param frameBuilder supplies the frame that is sent at the end of this turn of the event loop
      */
     LimitChannel(
-            ServingLoop loop, LimitTable table, LimitPeers peers, DecisionLog log, Supplier<NewsFrame.Builder> news) {
+            ServingLoop loop,
+            LimitTable table,
+            LimitPeers peers,
+            DecisionLog log,
+            Supplier<NewsFrame.Builder> frameBuilder) {
         this.loop = loop;
         this.table = table;
         this.peers = peers;
         this.log = log;
-        this.news = news;
-        this.keeping = new PermitIssuerService(peers.own(), table, peers::permitIssuerOf, loop::nowMillis);
-        this.told = new TokenBucket(MOST_TOLD_BYTES, nowNanos());
-        this.permits = new TokenBucket(MOST_PERMIT_BYTES, nowNanos());
+        this.frameBuilder = frameBuilder;
+        this.issuerService = new PermitIssuerService(peers.own(), table, peers::permitIssuerOf, loop::nowMillis);
+        this.reportBudget = new TokenBucket(MAX_REPORT_BYTES, nowNanos());
+        this.permitBudget = new TokenBucket(MAX_PERMIT_BYTES, nowNanos());
     }
 
-    /** Reads the clock. */
+    /** Returns the current time, in nanoseconds. */
     private long nowNanos() {
         return TimeUnit.MILLISECONDS.toNanos(loop.nowMillis());
     }
 
-    /** Tells whether so many bytes may be sent to tell of limits, and counts a message that may not. */
-    private boolean mayTell(MessageLite message) {
+    /** Returns whether the budget allows a report of limits to all routers, and counts one that it does not allow. */
+    private boolean mayReport(MessageLite message) {
         double bytes = (double) message.getSerializedSize() * Math.max(1, peers.others());
-        return counted(told.take(bytes, TOLD_BYTES_PER_SECOND, MOST_TOLD_BYTES, nowNanos()) == 0);
+        return countIfDropped(reportBudget.take(bytes, REPORT_BYTES_PER_SECOND, MAX_REPORT_BYTES, nowNanos()) == 0);
     }
 
-    /** Tells whether a question or an answer may be sent, and counts one that may not. */
+    /** Returns whether the budget allows a permit request or reply, and counts one that it does not allow. */
     private boolean maySend(MessageLite message) {
         int bytes = message.getSerializedSize();
-        return counted(permits.take(bytes, PERMIT_BYTES_PER_SECOND, MOST_PERMIT_BYTES, nowNanos()) == 0);
+        return countIfDropped(permitBudget.take(bytes, PERMIT_BYTES_PER_SECOND, MAX_PERMIT_BYTES, nowNanos()) == 0);
     }
 
-    /** Counts a message that may not be sent. */
-    private boolean counted(boolean may) {
-        dropped += may ? 0 : 1;
-        return may;
+    /** Counts a message that is dropped for lack of budget. */
+    private boolean countIfDropped(boolean allowed) {
+        dropped += allowed ? 0 : 1;
+        return allowed;
     }
 
     @Override
     public void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit) {
         long now = loop.nowMillis();
         boolean ended = change == LimitChange.ENDED;
-        Long lastMillis = toldMillis.get(upstream);
-        if (change == LimitChange.CHANGED && lastMillis != null && now - lastMillis < CHANGE_MILLIS) {
+        Long lastMillis = lastReportedMillis.get(upstream);
+        if (change == LimitChange.CHANGED && lastMillis != null && now - lastMillis < MIN_CHANGE_INTERVAL_MILLIS) {
             return;
         }
         NamedLimit message = ended
                 ? LimitMessages.ended(upstream, limit.advertisedMillis(), now)
-                : LimitMessages.named(upstream, limit, now);
-        if (mayTell(message)) {
-            toldMillis.put(upstream, now);
+                : LimitMessages.inForce(upstream, limit, now);
+        if (mayReport(message)) {
+            lastReportedMillis.put(upstream, now);
             peers.openStreams();
-            news.get().addLimits(message);
+            frameBuilder.get().addLimits(message);
             if (change != LimitChange.CHANGED) {
-                peers.tellStandBy(NewsFrame.newBuilder().addLimits(message).build());
+                peers.sendToStandby(NewsFrame.newBuilder().addLimits(message).build());
             }
         }
     }
 
-    /** Tells whether any upstream is limited, of which the other routers have to hear. */
-    boolean any() {
+    /** Returns whether any upstream has a rate limit, which the other routers have to learn. */
+    boolean hasState() {
         return !table.isEmpty();
     }
 
-    /** Adds what is known to a frame for a router that missed news. */
+    /** Adds known limits to a frame for a router that missed updates. */
     void addAll(NewsFrame.Builder frame) {
         if (table.isEmpty()) {
             return;
@@ -154,55 +169,58 @@
         long now = loop.nowMillis();
         table.all().entrySet().stream()
                 .sorted(Comparator.comparingLong(entry -> -entry.getValue().advertisedMillis()))
-                .limit(MOST_TOLD_AT_ONCE)
-                .forEach(entry -> frame.addLimits(LimitMessages.named(entry.getKey(), entry.getValue(), now)));
+                .limit(MAX_REPORTED_ON_CONNECT)
+                .forEach(entry -> frame.addLimits(LimitMessages.inForce(entry.getKey(), entry.getValue(), now)));
     }
 
     @Override
     public String permitIssuerOf(UpstreamId upstream) {
-        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
-        return kept.host() == null ? null : kept.host().value();
+        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        return issuer.host() == null ? null : issuer.host().value();
     }
 
     @Override
-    public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
-        if (keeping.isThisRouter(kept)) {
-            then.accept(keeping.answer(upstream, wanted, 0));
+    public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback) {
+        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        if (issuerService.isThisRouter(issuer)) {
+            callback.accept(issuerService.answer(upstream, wanted, 0));
             return;
         }
-        long number = ++questions;
+        long number = ++permitRequests;
         PermitRequest request =
                 request(number, upstream, limit).setWanted(wanted).build();
-        if (!send(kept, request)) {
-            then.accept(null);
+        if (!send(issuer, request)) {
+            callback.accept(null);
             return;
         }
-        open.put(number, new Question(then, loop.schedule(ANSWER_MILLIS, () -> endUnanswered(number))));
+        pendingRequests.put(
+                number, new PendingRequest(callback, loop.schedule(REPLY_TIMEOUT_MILLIS, () -> timeOut(number))));
     }
 
     @Override
     public void charge(UpstreamId upstream, RateLimit limit, int requests) {
-        PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
-        if (keeping.isThisRouter(kept)) {
-            keeping.answer(upstream, 0, requests);
+        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        if (issuerService.isThisRouter(issuer)) {
+            issuerService.answer(upstream, 0, requests);
         } else {
             send(
-                    kept,
-                    request(++questions, upstream, limit).setCharged(requests).build());
+                    issuer,
+                    request(++permitRequests, upstream, limit)
+                            .setCharged(requests)
+                            .build());
         }
     }
 
-    /** Begins a question. */
+    /** Starts building a permit request. */
     private PermitRequest.Builder request(long number, UpstreamId upstream, RateLimit limit) {
         return PermitRequest.newBuilder()
                 .setNumber(number)
-                .setLimit(LimitMessages.named(upstream, limit, loop.nowMillis()));
+                .setLimit(LimitMessages.inForce(upstream, limit, loop.nowMillis()));
     }
 
-    /** Sends a question to a keeper, if it can be reached. */
-    private boolean send(PermitIssuerSelector kept, PermitRequest request) {
-        Address address = kept.host() == null ? null : peers.addressOf(kept.host());
+    /** Sends a permit request to a permit issuer, if it can be reached. */
+    private boolean send(PermitIssuerSelector issuer, PermitRequest request) {
+        Address address = issuer.host() == null ? null : peers.addressOf(issuer.host());
         if (address == null || !maySend(request)) {
             return false;
         }
@@ -210,38 +228,38 @@
         return true;
     }
 
-    /** Ends a question that was not answered in time. */
-    private void endUnanswered(long number) {
-        Question question = open.remove(number);
-        if (question != null) {
+    /** Ends a permit request whose reply did not arrive in time. */
+    private void timeOut(long number) {
+        PendingRequest pendingRequest = pendingRequests.remove(number);
+        if (pendingRequest != null) {
             unanswered++;
-            question.then().accept(null);
+            pendingRequest.callback().accept(null);
         }
     }
 
     /**
-     * Takes in what another router tells, asks or answers.
+     * Applies reported limits, and handles permit requests and replies.
      *
-     * @param frame the news
+     * @param frame the state update
      * @param sender where a datagram came from, or {@code null} for a stream
      */
-    void take(NewsFrame frame, Address sender) {
-        frame.getLimitsList().forEach(named -> heard(named, sender == null ? "news" : sender.toString()));
+    void receive(NewsFrame frame, Address sender) {
+        frame.getLimitsList().forEach(reported -> receiveLimit(reported, sender == null ? "news" : sender.toString()));
         if (sender != null) {
             frame.getPermitRequestsList().forEach(request -> answer(request, sender));
-            frame.getPermitRepliesList().forEach(reply -> answered(reply, sender));
+            frame.getPermitRepliesList().forEach(reply -> receiveReply(reply, sender));
         }
     }
 
-    /** Takes in what another router read in an answer of an upstream. */
-    private void heard(NamedLimit named, String source) {
-        UpstreamId upstream = LimitMessages.upstream(named);
-        if (peers.isOver(upstream)) {
+    /** Applies a limit that another router learned from a response of the upstream. */
+    private void receiveLimit(NamedLimit reported, String source) {
+        UpstreamId upstream = LimitMessages.upstream(reported);
+        if (peers.isSuperseded(upstream)) {
             return;
         }
         long now = loop.nowMillis();
-        RateLimit limit = LimitMessages.limit(named, now);
-        LimitChange change = named.getEnded()
+        RateLimit limit = LimitMessages.limit(reported, now);
+        LimitChange change = reported.getEnded()
                 ? table.ended(upstream, limit.advertisedMillis())
                 : table.reportedByPeer(upstream, limit);
         if (change != LimitChange.NONE) {
@@ -249,18 +267,18 @@
                     .put("upstream", upstream.value())
                     .put("incarnation", upstream.incarnation())
                     .put("per_second", Double.toString(limit.perSecond()))
-                    .put("ago_millis", named.getAgoMillis())
+                    .put("ago_millis", reported.getAgoMillis())
                     .put("source", source)
                     .put("keeper", permitIssuerOf(upstream))
                     .write();
         }
     }
 
-    /** Answers a question. */
+    /** Replies to a permit request. */
     private void answer(PermitRequest request, Address sender) {
         UpstreamId upstream = LimitMessages.upstream(request.getLimit());
-        heard(request.getLimit(), sender.toString());
-        PermitGrant grant = keeping.answer(upstream, request.getWanted(), request.getCharged());
+        receiveLimit(request.getLimit(), sender.toString());
+        PermitGrant grant = issuerService.answer(upstream, request.getWanted(), request.getCharged());
         if (request.getWanted() == 0) {
             return;
         }
@@ -272,7 +290,7 @@
         RateLimit known = table.find(upstream);
         Long endMillis = table.endMillis(upstream);
         if (known != null && known.perSecond() != request.getLimit().getPerSecond()) {
-            reply.setLimit(LimitMessages.named(upstream, known, now));
+            reply.setLimit(LimitMessages.inForce(upstream, known, now));
         } else if (endMillis != null) {
             reply.setLimit(LimitMessages.ended(upstream, endMillis, now));
         }
@@ -282,37 +300,37 @@
         }
     }
 
-    /** Takes the answer to a question. */
-    private void answered(PermitReply reply, Address sender) {
-        Question question = open.remove(reply.getNumber());
+    /** Completes the permit request that a reply belongs to. */
+    private void receiveReply(PermitReply reply, Address sender) {
+        PendingRequest pendingRequest = pendingRequests.remove(reply.getNumber());
         if (reply.hasLimit()) {
-            heard(reply.getLimit(), sender.toString());
+            receiveLimit(reply.getLimit(), sender.toString());
         }
-        if (question != null) {
-            question.timeout().cancel(false);
-            question.then().accept(new PermitGrant(reply.getGranted(), reply.getAgainMillis()));
+        if (pendingRequest != null) {
+            pendingRequest.timeout().cancel(false);
+            pendingRequest.callback().accept(new PermitGrant(reply.getGranted(), reply.getAgainMillis()));
         }
     }
 
-    /** Forgets upstreams that are not limited any more. */
+    /** Drops the state of upstreams that have no limit any more. */
     public void expire() {
-        keeping.expire();
-        if (!toldMillis.isEmpty()) {
-            toldMillis.keySet().removeIf(upstream -> table.find(upstream) == null);
+        issuerService.expire();
+        if (!lastReportedMillis.isEmpty()) {
+            lastReportedMillis.keySet().removeIf(upstream -> table.find(upstream) == null);
         }
     }
 
     /**
-     * Returns how many questions were not answered in time.
+     * Returns the number of permit requests without a reply in time.
      *
-     * @return questions since the start
+     * @return requests since the start
      */
     public long unanswered() {
         return unanswered;
     }
 
     /**
-     * Returns how many messages were not sent, as they were too many.
+     * Returns the number of messages that were dropped for lack of budget.
      *
      * @return messages since the start
      */
@@ -321,11 +339,11 @@
     }
 
     /**
-     * Returns how many limits this router keeps for all others.
+     * Returns the number of upstreams whose permits this router issues.
      *
      * @return upstreams
      */
     public int kept() {
-        return keeping.issuedLimits();
+        return issuerService.issuedLimits();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitMessages.java
@@ -4,13 +4,13 @@
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.wire.news.NamedLimit;
 
-/** Translates between what routers tell each other of rate limits and the types of the core. */
+/** Converts rate limits between wire messages and the types of the core. */
 final class LimitMessages {
 
     private LimitMessages() {}
 
-    /** Writes a limit that holds. */
-    static NamedLimit named(UpstreamId upstream, RateLimit limit, long nowMillis) {
+    /** Encodes a limit in force. */
+    static NamedLimit inForce(UpstreamId upstream, RateLimit limit, long nowMillis) {
         return NamedLimit.newBuilder()
                 .setUpstream(upstream.value())
                 .setIncarnation(upstream.incarnation())
@@ -19,7 +19,7 @@
                 .build();
     }
 
-    /** Writes that an upstream names no limit any more. */
+    /** Encodes that an upstream advertises no limit any more. */
     static NamedLimit ended(UpstreamId upstream, long atMillis, long nowMillis) {
         return NamedLimit.newBuilder()
                 .setUpstream(upstream.value())
@@ -29,19 +29,19 @@
                 .build();
     }
 
-    /** Reads which upstream is meant. */
-    static UpstreamId upstream(NamedLimit named) {
-        return new UpstreamId(named.getUpstream(), named.getIncarnation());
+    /** Decodes the upstream. */
+    static UpstreamId upstream(NamedLimit limitMessage) {
+        return new UpstreamId(limitMessage.getUpstream(), limitMessage.getIncarnation());
     }
 
-    /** Reads a limit; one that is no number, or negative, counts as 0. */
-    static RateLimit limit(NamedLimit named, long nowMillis) {
-        double perSecond = named.getPerSecond();
-        return new RateLimit(perSecond > 0 ? perSecond : 0, atMillis(named, nowMillis));
+    /** Decodes a limit; a negative one or NaN counts as 0. */
+    static RateLimit limit(NamedLimit limitMessage, long nowMillis) {
+        double perSecond = limitMessage.getPerSecond();
+        return new RateLimit(perSecond > 0 ? perSecond : 0, atMillis(limitMessage, nowMillis));
     }
 
-    /** Reads when an answer showed it. */
-    static long atMillis(NamedLimit named, long nowMillis) {
-        return nowMillis - Math.max(0, named.getAgoMillis());
+    /** Decodes the time of the response that advertised the limit. */
+    static long atMillis(NamedLimit limitMessage, long nowMillis) {
+        return nowMillis - Math.max(0, limitMessage.getAgoMillis());
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitPeers.java
@@ -6,16 +6,16 @@
 import org.apricotstack.core.ratelimit.PermitIssuerSelector;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** What the news of rate limits need of the other routers. */
+/** The other routers, as the exchange of rate limits uses them. */
 interface LimitPeers extends GossipPeers {
 
     /** Returns this router's host. */
     HostId own();
 
-    /** Returns who keeps the limit of an upstream; without a host while this router cannot know. */
+    /** Returns the permit issuer of an upstream; without a host while this router cannot know it. */
     PermitIssuerSelector permitIssuerOf(UpstreamId upstream);
 
-    /** Returns where a router takes datagrams, or {@code null} if it was not heard. */
+    /** Returns the address to which datagrams for a router are sent, or {@code null} if none was received from it. */
     Address addressOf(HostId host);
 
     /** Sends a datagram. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/MembershipLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/MembershipLog.java
@@ -8,27 +8,27 @@
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.serving.observe.DecisionLog;
 
-/** Writes down which routers are heard again or no longer. */
+/** Logs which routers become alive or silent. */
 final class MembershipLog {
 
     private final DecisionLog log;
-    private final Set<HostId> believedAlive = new HashSet<>();
+    private final Set<HostId> aliveHosts = new HashSet<>();
 
-    /** Creates a log that has heard of nobody. */
+    /** Creates a log that knows no live router. */
     MembershipLog(DecisionLog log) {
         this.log = log;
     }
 
-    /** Notes the routers that are heard now. */
-    void note(Collection<Peer> heard) {
+    /** Logs the changes against the routers that are alive now. */
+    void update(Collection<Peer> peers) {
         Set<HostId> alive = new HashSet<>();
-        heard.forEach(peer -> alive.add(peer.process().host()));
+        peers.forEach(peer -> alive.add(peer.process().host()));
         for (HostId host : alive) {
-            if (believedAlive.add(host)) {
+            if (aliveHosts.add(host)) {
                 log.line("peer_heard").put("peer", host.value()).write();
             }
         }
-        believedAlive.removeIf(host -> {
+        aliveHosts.removeIf(host -> {
             boolean silent = !alive.contains(host);
             if (silent) {
                 log.line("peer_silent").put("peer", host.value()).write();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStream.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStream.java
@@ -15,166 +15,175 @@
 import org.apricotstack.wire.news.NewsReply;
 
 /**
- * The stream of news to one other router.
+ * The gossip stream to one other router.
  *
- * <p>A connection can go silent for good without a reset. Each heartbeat is answered; a stream whose answers stay away
- * for {@link #SILENT_MILLIS} is given up with its connection, and the next heartbeat opens another.
+ * <p>A connection can stall for good without a reset. Each heartbeat is answered; a connection without a reply for
+ * {@link #SILENT_MILLIS} is closed, and the next heartbeat opens another one.
  *
- * <p>News that cannot be sent at once are not kept. What goes wrong without more: while a connection is being made, the
- * ends of placements that the peer is told of are lost, and stay on its board until their time limits. On a played day
- * a router that had been restarted counted 70 placements where 40 were open, for eight seconds. So a link that missed
- * something sends all that is open as soon as it can send again, and the peer forgets the rest.
+ * <p>Updates that cannot be sent at once are not queued. That alone would lose the ends of placements that the peer
+ * knows while a connection is being opened, so that they stay in its load table until their time limits: in a
+ * simulated day a restarted router counted 70 placements where 40 were in flight, for eight seconds. So a stream that
+ * missed an update sends all in-flight placements as soon as it can send again, and the peer drops the rest.
  */
 final class OutboundGossipStream implements AutoCloseable {
 
-    /** Time without an answer after which the connection is given up, in milliseconds. */
+    /** Time without a reply after which the connection is closed, in milliseconds. */
     private static final long SILENT_MILLIS = 1_800;
 
-    /** Heartbeats without an answer that have the same effect in a large fleet. */
-    private static final long SILENT_BEATS = 3;
+    /** Number of heartbeats without a reply that have the same effect in a large fleet. */
+    private static final long SILENT_HEARTBEATS = 3;
 
-    /** Time between two connections, in milliseconds, so that a dead host costs little. */
-    private static final long REOPEN_MILLIS = 300;
+    /** Shortest time between two connection attempts, in milliseconds, so that a dead host costs little. */
+    private static final long MIN_RECONNECT_INTERVAL_MILLIS = 300;
 
     private final ServingLoop loop;
     private final Address address;
-    private final GossipHandler sink;
-    private final Supplier<NewsFrame> allNews;
-    private final Runnable whenEnded;
-    private long silentMillis = SILENT_MILLIS;
+    private final GossipHandler handler;
+    private final Supplier<NewsFrame> fullState;
+    private final Runnable onClosed;
+    private long silenceTimeoutMillis = SILENT_MILLIS;
     private Channel channel;
     private EncodedFrame greeting;
-    private NewsFrame question;
-    private long openedMillis = Long.MIN_VALUE / 2;
-    private long heardMillis;
-    private boolean missed = true;
+    private NewsFrame pendingRequest;
+    private long lastConnectMillis = Long.MIN_VALUE / 2;
+    private long lastReplyMillis;
+    private boolean outOfSync = true;
 
-    /** Creates a link that is not open. */
+    /** Creates a stream that is not open. */
     OutboundGossipStream(
-            ServingLoop loop, Address address, GossipHandler sink, Supplier<NewsFrame> allNews, Runnable whenEnded) {
+            ServingLoop loop,
+            Address address,
+            GossipHandler handler,
+            Supplier<NewsFrame> fullState,
+            Runnable onClosed) {
         this.loop = loop;
         this.address = address;
-        this.sink = sink;
-        this.allNews = allNews;
-        this.whenEnded = whenEnded;
+        this.handler = handler;
+        this.fullState = fullState;
+        this.onClosed = onClosed;
     }
 
-    /** Returns where it leads. */
+    /** Returns the address of the peer. */
     Address address() {
         return address;
     }
 
-    /** Sends a heartbeat, and opens the stream first if there is none; the next one follows after a time. */
+    /**
+     * Sends a heartbeat, and opens the stream first if there is none; the next heartbeat follows after the given time.
+     */
     void heartbeat(EncodedFrame frame, long nextMillis) {
-        silentMillis = Math.max(SILENT_MILLIS, SILENT_BEATS * nextMillis);
+        silenceTimeoutMillis = Math.max(SILENT_MILLIS, SILENT_HEARTBEATS * nextMillis);
         long now = loop.nowMillis();
-        if (channel != null && now - heardMillis > silentMillis) {
-            drop();
+        if (channel != null && now - lastReplyMillis > silenceTimeoutMillis) {
+            disconnect();
         }
-        if (channel == null && now - openedMillis >= REOPEN_MILLIS) {
+        if (channel == null && now - lastConnectMillis >= MIN_RECONNECT_INTERVAL_MILLIS) {
             greeting = frame;
-            open(now);
+            connect(now);
         } else if (isConnected()) {
             write(frame);
-            catchUp();
+            syncIfNeeded();
         }
     }
 
-    /** Sends news and tells whether a stream took them; lost ones are not kept, as they would be old later. */
+    /**
+     * Sends an update and returns whether the stream was writable; a lost update is not queued, as it would be
+     * outdated later.
+     */
     boolean send(EncodedFrame frame) {
         boolean open = isOpen();
         if (open) {
-            catchUp();
+            syncIfNeeded();
             write(frame);
         } else {
-            missed = true;
+            outOfSync = true;
         }
         return open;
     }
 
-    /** Notes that news were not for this peer, so that it has to be told of all that is open before the next ones. */
-    void skip() {
-        missed = true;
+    /** Records that an update was not sent to this peer, so that it needs the full state before the next one. */
+    void markOutOfSync() {
+        outOfSync = true;
     }
 
-    /** Tells the peer of all that is open if it missed something. */
-    private void catchUp() {
-        if (missed && isOpen()) {
-            missed = false;
-            write(EncodedFrame.of(allNews.get()));
+    /** Sends the full state if the peer missed an update. */
+    private void syncIfNeeded() {
+        if (outOfSync && isOpen()) {
+            outOfSync = false;
+            write(EncodedFrame.of(fullState.get()));
         }
     }
 
-    /** Tells whether the connection stands. */
+    /** Returns whether the connection is established. */
     private boolean isConnected() {
         return channel != null && channel.isActive();
     }
 
-    /** Tells whether news can be sent. */
+    /** Returns whether updates can be sent. */
     boolean isOpen() {
         return isConnected() && channel.isWritable();
     }
 
-    /** Asks for documents; opens the stream first if there is none, or if nothing was heard on it for long. */
-    boolean ask(EncodedFrame heartbeat, NewsFrame request) {
+    /** Requests documents; opens the stream first if there is none, or if the peer has been silent for too long. */
+    boolean fetch(EncodedFrame heartbeat, NewsFrame request) {
         heartbeat(heartbeat, 0);
         if (isConnected()) {
             write(EncodedFrame.of(request));
         } else {
-            question = request;
+            pendingRequest = request;
         }
         return channel != null;
     }
 
-    /** Sends bytes; one that fails ends the connection, which is noticed there. */
+    /** Sends a frame; a failed write closes the connection, which its handler notices. */
     private void write(EncodedFrame frame) {
         channel.writeAndFlush(frame.buffer(), channel.voidPromise());
     }
 
     /** Opens a connection. */
-    private void open(long now) {
-        openedMillis = now;
-        heardMillis = now;
-        missed = true;
+    private void connect(long now) {
+        lastConnectMillis = now;
+        lastReplyMillis = now;
+        outOfSync = true;
         ChannelFuture connecting = new Bootstrap()
                 .group(loop.group())
                 .channel(loop.clientChannel())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(GossipFraming.initializer(NewsReply.getDefaultInstance(), Replies::new))
                 .connect(new InetSocketAddress(address.ip(), address.port()));
-        Channel mine = connecting.channel();
-        channel = mine;
+        Channel opened = connecting.channel();
+        channel = opened;
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                ended(mine);
+                connectionClosed(opened);
             }
         });
     }
 
-    /** Says who this router is, and what was asked while the connection was being made. */
-    private void opened() {
+    /** Sends the first heartbeat, and the document request that was made while the connection was being opened. */
+    private void onConnected() {
         write(greeting);
-        if (question != null) {
-            write(EncodedFrame.of(question));
-            question = null;
+        if (pendingRequest != null) {
+            write(EncodedFrame.of(pendingRequest));
+            pendingRequest = null;
         }
-        catchUp();
+        syncIfNeeded();
     }
 
-    /** Gives a connection up if it is still the one in use. */
-    private void ended(Channel one) {
-        if (channel == one) {
-            drop();
-            whenEnded.run();
+    /** Drops a closed connection if it is still the current one. */
+    private void connectionClosed(Channel closed) {
+        if (channel == closed) {
+            disconnect();
+            onClosed.run();
         }
     }
 
-    /** Gives the connection up. */
-    private void drop() {
+    /** Closes the connection. */
+    private void disconnect() {
         Channel dropped = channel;
         channel = null;
-        question = null;
-        missed = true;
+        pendingRequest = null;
+        outOfSync = true;
         if (dropped != null) {
             dropped.close();
         }
@@ -182,42 +191,42 @@
 
     @Override
     public void close() {
-        drop();
+        disconnect();
     }
 
-    /** Takes what the peer answers. */
+    /** Receives the replies of the peer. */
     private final class Replies extends SimpleChannelInboundHandler<NewsReply> {
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             if (channel == context.channel()) {
-                opened();
+                onConnected();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, NewsReply reply) {
             if (channel == context.channel()) {
-                heardMillis = loop.nowMillis();
-                sink.reply(reply, address.toString());
+                lastReplyMillis = loop.nowMillis();
+                handler.reply(reply, address.toString());
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (channel == context.channel()) {
-                catchUp();
+                syncIfNeeded();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended(context.channel());
+            connectionClosed(context.channel());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Reset, or bytes that are no answer; either way the connection ends and another one follows.
+            // A reset, or bytes that cannot be parsed; either way the connection is closed and another one follows.
             context.close();
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStreams.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStreams.java
@@ -13,118 +13,118 @@
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** The streams of news to all other routers, and what each of those wants to hear. */
+/** The gossip streams to all other routers, and what each of those routers reported of itself. */
 final class OutboundGossipStreams implements AutoCloseable {
 
     private final ServingLoop loop;
     private final PeerTable peers;
-    private final Supplier<NewsFrame> allNews;
-    private final Map<Address, OutboundGossipStream> links = new HashMap<>();
-    private final Map<Address, Peer> heard = new HashMap<>();
+    private final Supplier<NewsFrame> fullState;
+    private final Map<Address, OutboundGossipStream> streams = new HashMap<>();
+    private final Map<Address, Peer> reported = new HashMap<>();
 
-    /** Creates links to nobody; a peer that missed news is told of all that is open. */
-    OutboundGossipStreams(ServingLoop loop, PeerTable peers, Supplier<NewsFrame> allNews) {
+    /** Creates a set without streams; a peer that missed updates gets the full state. */
+    OutboundGossipStreams(ServingLoop loop, PeerTable peers, Supplier<NewsFrame> fullState) {
         this.loop = loop;
         this.peers = peers;
-        this.allNews = allNews;
+        this.fullState = fullState;
     }
 
-    /** Returns the link to a router; a stream that ends tells at once that its peer stopped or was cut. */
-    OutboundGossipStream open(Address address, GossipHandler sink) {
-        return links.computeIfAbsent(
+    /** Returns the stream to a router; a closed connection reveals at once that the peer stopped or is cut off. */
+    OutboundGossipStream open(Address address, GossipHandler handler) {
+        return streams.computeIfAbsent(
                 address,
                 to -> new OutboundGossipStream(
-                        loop, to, sink, allNews, () -> peers.connectionLost(to, loop.nowMillis())));
+                        loop, to, handler, fullState, () -> peers.connectionLost(to, loop.nowMillis())));
     }
 
-    /** Notes what a router said of itself; tells whether it was not heard before. */
-    boolean heard(Peer peer) {
-        return heard.put(peer.peerAddress(), peer) == null;
+    /** Records what a router reported of itself; returns whether it was unknown before. */
+    boolean reported(Peer peer) {
+        return reported.put(peer.peerAddress(), peer) == null;
     }
 
-    /** Returns what the router at an address said last; {@code null} if it was not heard. */
-    Peer heardAt(Address address) {
-        return heard.get(address);
+    /** Returns what the router at an address reported last; {@code null} if it was never heard from. */
+    Peer lastReported(Address address) {
+        return reported.get(address);
     }
 
-    /** Tells whether the router at an address said that it decides on requests. */
-    boolean decides(Address address) {
-        Peer peer = heard.get(address);
+    /** Returns whether the router at an address is active. */
+    boolean isActive(Address address) {
+        Peer peer = reported.get(address);
         return peer != null && peer.takesCallers();
     }
 
-    /** Sends news to the routers that decide on requests. */
-    void sendToDeciding(EncodedFrame frame) {
-        links.forEach((address, link) -> {
-            if (decides(address)) {
-                link.send(frame);
+    /** Sends an update to the active routers. */
+    void sendToActive(EncodedFrame frame) {
+        streams.forEach((address, stream) -> {
+            if (isActive(address)) {
+                stream.send(frame);
             } else {
-                link.skip();
+                stream.markOutOfSync();
             }
         });
     }
 
-    /** Sends something to all routers to which a stream is open. */
+    /** Sends a frame over all open streams. */
     void sendToAll(EncodedFrame frame) {
-        links.values().forEach(link -> link.send(frame));
+        streams.values().forEach(stream -> stream.send(frame));
     }
 
-    /** Closes the links to routers that are forgotten. */
-    void retain(Collection<Address> known) {
-        links.entrySet().removeIf(entry -> {
+    /** Closes the streams to routers that are no longer known. */
+    void retainAll(Collection<Address> known) {
+        streams.entrySet().removeIf(entry -> {
             boolean forgotten = !known.contains(entry.getKey());
             if (forgotten) {
                 entry.getValue().close();
-                heard.remove(entry.getKey());
+                reported.remove(entry.getKey());
             }
             return forgotten;
         });
     }
 
-    /** Lists the addresses of the routers of a data centre that were heard. */
+    /** Returns the addresses of the known routers of a data centre. */
     List<Address> addressesIn(DataCentreId dataCentre) {
-        return heard.values().stream()
+        return reported.values().stream()
                 .filter(peer -> peer.dataCentre().equals(dataCentre))
                 .map(Peer::peerAddress)
                 .toList();
     }
 
-    /** Returns in how many data centres routers were heard. */
+    /** Returns the number of data centres with known routers. */
     int dataCentres() {
-        return (int) heard.values().stream().map(Peer::dataCentre).distinct().count();
+        return (int) reported.values().stream().map(Peer::dataCentre).distinct().count();
     }
 
-    /** Tells whether there is a stream to the router at an address, open or not. */
+    /** Returns whether there is a stream to the router at an address, open or not. */
     boolean has(Address address) {
-        return links.containsKey(address);
+        return streams.containsKey(address);
     }
 
-    /** Returns how many streams there are, open or not. */
+    /** Returns the number of streams, open or not. */
     int size() {
-        return links.size();
+        return streams.size();
     }
 
-    /** Returns how many other routers decide on requests. */
-    int deciding() {
-        return (int) heard.keySet().stream().filter(this::decides).count();
+    /** Returns the number of other active routers. */
+    int active() {
+        return (int) reported.keySet().stream().filter(this::isActive).count();
     }
 
-    /** Tells whether news can be sent to the router at an address. */
+    /** Returns whether updates can be sent to the router at an address. */
     boolean isOpen(Address address) {
-        OutboundGossipStream link = links.get(address);
-        return link != null && link.isOpen();
+        OutboundGossipStream stream = streams.get(address);
+        return stream != null && stream.isOpen();
     }
 
-    /** Returns how many routers that decide on requests can be sent news. */
-    int openToDeciding() {
-        return (int) links.keySet().stream()
-                .filter(address -> decides(address) && isOpen(address))
+    /** Returns the number of active routers to which updates can be sent. */
+    int openToActive() {
+        return (int) streams.keySet().stream()
+                .filter(address -> isActive(address) && isOpen(address))
                 .count();
     }
 
     @Override
     public void close() {
-        links.values().forEach(OutboundGossipStream::close);
-        links.clear();
+        streams.values().forEach(OutboundGossipStream::close);
+        streams.clear();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OwnHeartbeat.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OwnHeartbeat.java
@@ -14,45 +14,51 @@
 import org.apricotstack.wire.news.Heartbeat;
 import org.apricotstack.wire.news.NewsFrame;
 
-/** What this router tells others of itself, and whether it decides on requests. */
+/** Builds the heartbeats of this router, and determines whether it is active. */
 final class OwnHeartbeat {
 
-    /** Requests a second from which on a router that callers are not sent to wants to hear of placements. */
-    private static final double STRAY_REQUESTS_PER_SECOND = 0.5;
+    /**
+     * Requests a second above which a router that callers are not directed to is active all the same and needs to
+     * receive placements.
+     */
+    private static final double MIN_ACTIVE_REQUESTS_PER_SECOND = 0.5;
 
-    /** Routers of each data centre that hear of placements before callers are sent to them. */
-    private static final int STAND_BY = 1;
+    /**
+     * Number of spare routers of each data centre that count as active, so that they receive placements before callers
+     * are directed to them.
+     */
+    private static final int SPARE_ENTRY_ROUTERS = 1;
 
-    /** Heartbeats after the start that tell of other routers. */
-    private static final long FIRST_BEATS = 6;
+    /** Number of rounds after the start whose heartbeats include addresses of other routers. */
+    private static final long FIRST_ROUNDS_WITH_ADDRESSES = 6;
 
-    /** How often later heartbeats do; addresses change seldom. */
-    private static final long ADDRESS_BEATS = 8;
+    /** Interval of later rounds that include addresses; addresses rarely change. */
+    private static final long ROUNDS_BETWEEN_ADDRESSES = 8;
 
-    /** Addresses told in one heartbeat, at most. */
-    private static final int MOST_ADDRESSES = 16;
+    /** Maximum number of addresses in a heartbeat. */
+    private static final int MAX_ADDRESSES = 16;
 
-    /** Addresses told to a router that was not heard before, at most: as many as fit in a datagram of 1,400 bytes. */
-    private static final int MOST_INTRODUCED = 48;
+    /** Maximum number of addresses in the introduction for a newcomer: as many as fit in a datagram of 1,400 bytes. */
+    private static final int MAX_INTRODUCED_ADDRESSES = 48;
 
-    /** Hosts told to be silent in one heartbeat, at most: as many as fit in a datagram beside the rest. */
-    private static final int MOST_SILENT = 24;
+    /** Maximum number of silent hosts in a heartbeat: as many as fit in a datagram beside the rest. */
+    private static final int MAX_SILENT_HOSTS = 24;
 
     private final ServingLoop loop;
-    private final RouterIdentity self;
+    private final RouterIdentity identity;
     private final PeerTable peers;
     private final PublishedState state;
     private final BooleanSupplier ready;
     private final RequestRate requests;
     private final BooleanSupplier readsPlatform;
-    private List<Address> told = List.of();
+    private List<Address> includedAddresses = List.of();
     private int nextAddress;
-    private long beats;
+    private long rounds;
 
-    /** Creates the heartbeat of a router. */
+    /** Creates the heartbeats of a router. */
     OwnHeartbeat(
             ServingLoop loop,
-            RouterIdentity self,
+            RouterIdentity identity,
             PeerTable peers,
             PublishedState state,
             BooleanSupplier ready,
@@ -60,80 +66,83 @@
             BooleanSupplier readsPlatform) {
         this.loop = loop;
         this.readsPlatform = readsPlatform;
-        this.self = self;
+        this.identity = identity;
         this.peers = peers;
         this.state = state;
         this.ready = ready;
         this.requests = requests;
     }
 
-    /** Begins another round; some rounds tell the addresses of other routers too. */
+    /** Starts another round; some rounds include addresses of other routers. */
     void nextRound() {
-        beats++;
-        boolean tells = beats <= FIRST_BEATS || beats % ADDRESS_BEATS == 0;
-        told = tells ? someAddresses(MOST_ADDRESSES) : List.of();
+        rounds++;
+        boolean includesAddresses = rounds <= FIRST_ROUNDS_WITH_ADDRESSES || rounds % ROUNDS_BETWEEN_ADDRESSES == 0;
+        includedAddresses = includesAddresses ? someAddresses(MAX_ADDRESSES) : List.of();
     }
 
-    /** Tells whether this router can serve callers. */
+    /** Returns whether this router can serve callers. */
     boolean isReady() {
         return ready.getAsBoolean();
     }
 
-    /** Returns where this router stands. */
+    /** Returns the data centre of this router. */
     DataCentreId dataCentre() {
-        return self.dataCentre();
+        return identity.dataCentre();
     }
 
-    /** Returns this router as others hear of it. */
+    /** Returns this router as heartbeats describe it. */
     Peer peer(boolean takesCallers, long nextMillis) {
         return new Peer(
-                self.process(),
-                self.dataCentre(),
-                self.callerAddress(),
-                self.peerAddress(),
+                identity.process(),
+                identity.dataCentre(),
+                identity.callerAddress(),
+                identity.peerAddress(),
                 ready.getAsBoolean(),
                 state.configurationVersion(),
                 state.upstreamsRevision(),
-                self.capacityPercent(),
+                identity.capacityPercent(),
                 requests.perSecond(),
                 takesCallers,
                 nextMillis);
     }
 
-    /** Tells whether this router decides on requests: callers are or may soon be sent here, or come all the same. */
+    /**
+     * Returns whether this router is active: callers are directed to it, may soon be, or send requests all the same.
+     */
     boolean takesCallers(long nowMillis) {
-        boolean chosen = peers.entryRouters(peer(true, 0), STAND_BY, nowMillis).stream()
-                .anyMatch(peer -> peer.process().equals(self.process()));
-        return chosen || requests.perSecond() > STRAY_REQUESTS_PER_SECOND;
+        boolean chosen = peers.entryRouters(peer(true, 0), SPARE_ENTRY_ROUTERS, nowMillis).stream()
+                .anyMatch(peer -> peer.process().equals(identity.process()));
+        return chosen || requests.perSecond() > MIN_ACTIVE_REQUESTS_PER_SECOND;
     }
 
-    /** Writes the heartbeat. */
+    /** Encodes the heartbeat of this round. */
     EncodedFrame frame(boolean takesCallers, long nextMillis) {
-        return frame(takesCallers, nextMillis, told);
+        return frame(takesCallers, nextMillis, includedAddresses);
     }
 
-    /** Writes a heartbeat for a router that was not heard before: it may know only its seeds. */
+    /** Encodes a heartbeat for a newcomer, which may know only its seeds. */
     EncodedFrame introduction(boolean takesCallers, long nextMillis) {
-        return frame(takesCallers, nextMillis, someAddresses(MOST_INTRODUCED));
+        return frame(takesCallers, nextMillis, someAddresses(MAX_INTRODUCED_ADDRESSES));
     }
 
-    /** Writes a heartbeat that tells some addresses. */
+    /** Encodes a heartbeat that includes the given addresses. */
     private EncodedFrame frame(boolean takesCallers, long nextMillis, List<Address> addresses) {
-        Heartbeat.Builder beat = GossipMessages.heartbeat(peer(takesCallers, nextMillis))
+        Heartbeat.Builder heartbeat = GossipMessages.heartbeat(peer(takesCallers, nextMillis))
                 .setReadsPlatform(readsPlatform.getAsBoolean())
                 .setUpstreamsListed(state.upstreamsListed());
         if (takesCallers) {
-            peers.suspectedHosts(MOST_SILENT, loop.nowMillis()).forEach(host -> beat.addSilentHosts(host.value()));
+            peers.suspectedHosts(MAX_SILENT_HOSTS, loop.nowMillis())
+                    .forEach(host -> heartbeat.addSilentHosts(host.value()));
         }
-        addresses.forEach(address -> beat.addPeerAddresses(address.toString()));
-        return EncodedFrame.of(NewsFrame.newBuilder().setHeartbeat(beat).build());
+        addresses.forEach(address -> heartbeat.addPeerAddresses(address.toString()));
+        return EncodedFrame.of(NewsFrame.newBuilder().setHeartbeat(heartbeat).build());
     }
 
-    /** Returns a part of the known addresses, the next one each time. */
-    private List<Address> someAddresses(int most) {
+    /** Returns some of the known addresses, in turn. */
+    private List<Address> someAddresses(int max) {
         List<Address> all = List.copyOf(peers.addresses());
         List<Address> some = new ArrayList<>();
-        for (int i = 0; i < Math.min(most, all.size()); i++) {
+        for (int i = 0; i < Math.min(max, all.size()); i++) {
             some.add(all.get((nextAddress + i) % all.size()));
         }
         nextAddress = (nextAddress + some.size()) % Math.max(1, all.size());
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/PlacementReceiver.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/PlacementReceiver.java
@@ -14,55 +14,56 @@
 import org.apricotstack.wire.news.NewsFrame;
 import org.apricotstack.wire.news.Placed;
 
-/** Takes in what other routers place on engines, and which upstreams failed there. */
+/** Applies the placements on engines, and the failures of upstreams, that other routers report. */
 final class PlacementReceiver {
 
-    private final EngineLoadTable board;
-    private final OutlierDetector judge;
+    private final EngineLoadTable loadTable;
+    private final OutlierDetector outlierDetector;
     private final PublishedState state;
     private final StartPhase start;
-    private long heard;
+    private long received;
 
-    /** Creates an intake that has heard nothing. */
-    PlacementReceiver(EngineLoadTable board, OutlierDetector judge, PublishedState state, StartPhase start) {
-        this.board = board;
-        this.judge = judge;
+    /** Creates a receiver without placements. */
+    PlacementReceiver(
+            EngineLoadTable loadTable, OutlierDetector outlierDetector, PublishedState state, StartPhase start) {
+        this.loadTable = loadTable;
+        this.outlierDetector = outlierDetector;
         this.state = state;
         this.start = start;
     }
 
-    /** Takes the placements of a peer in. */
-    void take(NewsFrame frame, ProcessId sender, long nowMillis) {
+    /** Applies the placements of a peer. */
+    void receive(NewsFrame frame, ProcessId sender, long nowMillis) {
         if (frame.getWhole()) {
-            Set<PlacementId> told = new HashSet<>();
-            frame.getPlacedList().forEach(placed -> told.add(new PlacementId(sender, placed.getNumber())));
-            board.retainInFlight(sender, told, nowMillis);
-            start.toldBy(sender.host());
+            Set<PlacementId> reported = new HashSet<>();
+            frame.getPlacedList().forEach(placed -> reported.add(new PlacementId(sender, placed.getNumber())));
+            loadTable.retainInFlight(sender, reported, nowMillis);
+            start.placementsReportedBy(sender.host());
         }
         for (Placed placed : frame.getPlacedList()) {
             if (placed.getPartsCount() > 0) {
                 EnginePlacement placement = GossipMessages.placement(sender, placed);
-                boolean over = state.isOver(placement.lead().engine());
-                boolean isNew = !over && board.place(placement, nowMillis, placed.getLimitMillis());
-                heard += isNew ? 1 : 0;
+                boolean superseded = state.isSuperseded(placement.lead().engine());
+                boolean isNew = !superseded && loadTable.place(placement, nowMillis, placed.getLimitMillis());
+                received += isNew ? 1 : 0;
             }
         }
-        frame.getWritingList().forEach(number -> board.startDecoding(new PlacementId(sender, number), nowMillis));
-        frame.getEndedList().forEach(number -> board.remove(new PlacementId(sender, number), nowMillis));
+        frame.getWritingList().forEach(number -> loadTable.startDecoding(new PlacementId(sender, number), nowMillis));
+        frame.getEndedList().forEach(number -> loadTable.remove(new PlacementId(sender, number), nowMillis));
     }
 
-    /** Takes the failures that a peer saw in. */
-    void takeAvoided(NewsFrame frame, long nowMillis) {
+    /** Applies the failures that a peer observed. */
+    void receiveAvoided(NewsFrame frame, long nowMillis) {
         for (Avoided avoided : frame.getAvoidedList()) {
             UpstreamId upstream = GossipMessages.upstream(avoided);
-            if (!state.isOver(upstream)) {
-                judge.reportedByPeer(upstream, avoided.getAvoidMillis(), nowMillis);
+            if (!state.isSuperseded(upstream)) {
+                outlierDetector.reportedByPeer(upstream, avoided.getAvoidMillis(), nowMillis);
             }
         }
     }
 
-    /** Returns how many placements of other routers were heard of since the start. */
-    long heard() {
-        return heard;
+    /** Returns the number of placements received from other routers since the start. */
+    long received() {
+        return received;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/PlatformGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/PlatformGossip.java
@@ -10,91 +10,92 @@
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.publication.PublishedState;
 
-/** Shares among the routers of a data centre what one of them reads of the platform. */
+/** Shares the published state among the routers of a data centre, of which one follows the platform. */
 final class PlatformGossip {
 
     /**
-     * Time in which a router that stands by gathers changes of the platform, in milliseconds. A release of 22 upstreams
-     * is some 70 changes, and each would cost each router a question. With two words of the reader it relies on it
-     * stays below the three seconds within which changes have to be in force in a large fleet.
+     * Time in which a standby router coalesces changes of the platform, in milliseconds. A release of 22 upstreams
+     * makes some 70 changes, each of which would cost each router a request. Together with two heartbeats of the
+     * platform reader that it relies on, this stays below the three seconds within which changes have to be in force
+     * in a large fleet.
      */
-    static final long STAND_BY_GATHER_MILLIS = 600;
+    static final long STANDBY_COALESCE_MILLIS = 600;
 
     private final ServingLoop loop;
-    private final GossipHandler sink;
+    private final GossipHandler handler;
     private final PublishedState state;
     private final DocumentExchange documents;
-    private final OutboundGossipStreams links;
+    private final OutboundGossipStreams streams;
     private final HeartbeatSender heartbeats;
     private final BooleanSupplier readsPlatform;
     private final IntSupplier knownRouters;
-    private final PlatformReaderSelection readers = new PlatformReaderSelection();
-    private final ReportedPlatformState told = new ReportedPlatformState();
+    private final PlatformReaderSelection readerSelection = new PlatformReaderSelection();
+    private final ReportedPlatformState reported = new ReportedPlatformState();
 
-    /** Creates the share of a router that reads by itself. */
+    /** Creates the exchange for a router that follows the platform by itself. */
     PlatformGossip(
             ServingLoop loop,
-            GossipHandler sink,
+            GossipHandler handler,
             PublishedState state,
             DocumentExchange documents,
-            OutboundGossipStreams links,
+            OutboundGossipStreams streams,
             HeartbeatSender heartbeats,
             BooleanSupplier readsPlatform,
             IntSupplier knownRouters) {
         this.loop = loop;
-        this.sink = sink;
+        this.handler = handler;
         this.state = state;
         this.documents = documents;
-        this.links = links;
+        this.streams = streams;
         this.heartbeats = heartbeats;
         this.readsPlatform = readsPlatform;
         this.knownRouters = knownRouters;
     }
 
-    /** Tells whether the fleet is so large that its routers share what they read. */
+    /** Returns whether the fleet is so large that its routers share the published state. */
     private boolean isShared() {
         return EntryRouters.isLargeFleet(knownRouters.getAsInt());
     }
 
-    /** Tells the routers of this data centre what is known of the platform, if they rely on this one for it. */
-    void tell() {
+    /** Reports the known versions to the routers of this data centre, if they rely on this one. */
+    void sendHeartbeats() {
         if (isShared() && readsPlatform.getAsBoolean()) {
-            heartbeats.beatToDataCentre();
+            heartbeats.sendToDataCentre();
         }
     }
 
-    /** Tells them at once if more is known than they were told of. */
-    void tellChanges() {
-        if (told.update(state.configurationVersion(), state.upstreamsRevision(), state.upstreamsListed())) {
-            tell();
+    /** Reports the known versions at once if they changed since the last report. */
+    void reportChanges() {
+        if (reported.update(state.configurationVersion(), state.upstreamsRevision(), state.upstreamsListed())) {
+            sendHeartbeats();
         }
     }
 
-    /** Returns how many routers follow the platform at the same time, about. */
+    /** Returns the approximate number of routers that follow the platform at the same time. */
     int readers() {
-        return isShared() ? links.dataCentres() : knownRouters.getAsInt();
+        return isShared() ? streams.dataCentres() : knownRouters.getAsInt();
     }
 
-    /** Tells whether this router has to follow the platform itself. */
-    boolean mustRead() {
-        return !isShared() || readers.mustReadPlatform(heartbeats.peer(), loop.nowMillis());
+    /** Returns whether this router has to follow the platform itself. */
+    boolean mustReadPlatform() {
+        return !isShared() || readerSelection.mustReadPlatform(heartbeats.peer(), loop.nowMillis());
     }
 
     /**
-     * Takes in what a peer knows and whether it reads, and asks it for documents if it knows more than the platform, or
-     * the reader of this data centre, told here.
+     * Records which versions a peer knows and whether it follows the platform, and fetches documents from it if it
+     * knows more than the platform, or the platform reader of this data centre, has reported to this router.
      */
-    void heard(Peer peer, boolean reads, int upstreamsListed) {
+    void recordPeer(Peer peer, boolean peerReadsPlatform, int upstreamsListed) {
         long now = loop.nowMillis();
-        readers.recordHeartbeat(peer, reads, now);
-        boolean relies = !mustRead();
-        boolean isReader = relies && readers.reliesOn(heartbeats.peer(), peer, now);
-        long readerMillis = isReader ? 0 : PlatformReaderSelection.HEARTBEAT_MILLIS;
-        long gatherMillis = isShared() && !heartbeats.takesCallers() ? STAND_BY_GATHER_MILLIS : 0;
-        boolean behind =
-                documents.isToAsk(peer, gatherMillis + (relies ? readerMillis : PeerFetchPolicy.PLATFORM_GRACE_MILLIS));
-        if (behind || isReader && documents.listsOthers(peer, upstreamsListed)) {
-            documents.ask(peer, links.open(peer.peerAddress(), sink), heartbeats.greeting());
+        readerSelection.recordHeartbeat(peer, peerReadsPlatform, now);
+        boolean reliesOnReader = !mustReadPlatform();
+        boolean isReader = reliesOnReader && readerSelection.reliesOn(heartbeats.peer(), peer, now);
+        long reportDelayMillis = isReader ? 0 : PlatformReaderSelection.HEARTBEAT_MILLIS;
+        long coalesceMillis = isShared() && !heartbeats.takesCallers() ? STANDBY_COALESCE_MILLIS : 0;
+        boolean behind = documents.shouldFetch(
+                peer, coalesceMillis + (reliesOnReader ? reportDelayMillis : PeerFetchPolicy.PLATFORM_GRACE_MILLIS));
+        if (behind || isReader && documents.hasDifferentUpstreams(peer, upstreamsListed)) {
+            documents.fetch(peer, streams.open(peer.peerAddress(), handler), heartbeats.greeting());
         }
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/ReportedPlatformState.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/ReportedPlatformState.java
@@ -1,13 +1,13 @@
 package org.apricotstack.serving.gossip;
 
-/** What a reader of the platform told the routers of its data centre last. */
+/** The platform state that a platform reader reported last to the routers of its data centre. */
 final class ReportedPlatformState {
 
     private long configurationVersion;
     private long upstreamsRevision;
     private int upstreamsListed;
 
-    /** Notes what is known now; tells whether it differs in any part from what was told. */
+    /** Records the current state; returns whether any part of it differs from the last report. */
     boolean update(long configuration, long upstreams, int listed) {
         boolean changed =
                 configuration != configurationVersion || upstreams != upstreamsRevision || listed != upstreamsListed;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/RouterIdentity.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/RouterIdentity.java
@@ -5,13 +5,13 @@
 import org.apricotstack.core.id.ProcessId;
 
 /**
- * Who a router is to others.
+ * Identity and addresses of a router.
  *
  * @param process the router process
- * @param dataCentre where it stands
- * @param callerAddress where it takes callers
- * @param peerAddress where it takes other routers
- * @param capacityPercent its processor, in percent of a core
+ * @param dataCentre its data centre
+ * @param callerAddress address for callers
+ * @param peerAddress address for other routers
+ * @param capacityPercent its processor capacity, in percent of a core
  */
 public record RouterIdentity(
         ProcessId process, DataCentreId dataCentre, Address callerAddress, Address peerAddress, int capacityPercent) {}
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/StartPhase.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/StartPhase.java
@@ -5,53 +5,60 @@
 
 import org.apricotstack.core.id.HostId;
 
-/** The first seconds of a router, in which it does not know yet what the others placed, and hurries to be heard. */
+/**
+ * The first seconds of a router, in which it does not know the placements of the others yet, and sends heartbeats more
+ * often.
+ */
 final class StartPhase {
 
-    /** Time between two heartbeats in a small fleet, in milliseconds. */
+    /** Interval between heartbeats in a small fleet, in milliseconds. */
     static final long HEARTBEAT_MILLIS = 500;
 
     /**
-     * Time between two heartbeats of a router that has just started, in milliseconds. At the usual pace routers that
-     * started together needed 1.8 s until each had heard of all others, and placed without each other's news meanwhile.
+     * Interval between heartbeats of a router that has just started, in milliseconds. At the regular interval, routers
+     * that started together took 1.8 s to learn of each other, and meanwhile placed requests without each other's
+     * state updates.
      */
-    static final long YOUNG_HEARTBEAT_MILLIS = 100;
+    static final long STARTING_HEARTBEAT_MILLIS = 100;
 
-    /** Added for each known router, in milliseconds, so that none sends more than about 50 heartbeats a second. */
-    static final long HEARTBEAT_MILLIS_EACH = 12;
+    /**
+     * Added to the interval for each known router, in milliseconds, so that no router sends more than about 50
+     * heartbeats a second.
+     */
+    static final long HEARTBEAT_MILLIS_PER_ROUTER = 12;
 
     /**
-     * Time after the start in which a router that was not told of placements by all others places in an order of its
-     * own, in milliseconds; by then those that live have been heard, and the rest is gone.
+     * Time after the start in which a router that has not received the placements of all others uses its own order of
+     * engines, in milliseconds. After this time all live routers have reported, and the rest are dead.
      */
-    static final long YOUNG_MILLIS = 3_000;
+    static final long START_MILLIS = 3_000;
 
     private final long startedMillis;
-    private final Set<HostId> toldBy = new HashSet<>();
+    private final Set<HostId> placementsReportedBy = new HashSet<>();
 
-    /** Begins the phase. */
+    /** Starts the phase. */
     StartPhase(long startedMillis) {
         this.startedMillis = startedMillis;
     }
 
-    /** Tells whether this router has started so lately that others may not have heard of it. */
-    boolean isYoung(long nowMillis) {
-        return nowMillis - startedMillis < YOUNG_MILLIS;
+    /** Returns whether this router started so recently that others may not know it yet. */
+    boolean isStarting(long nowMillis) {
+        return nowMillis - startedMillis < START_MILLIS;
     }
 
-    /** Notes that a router has told all its open placements. */
-    void toldBy(HostId router) {
-        toldBy.add(router);
+    /** Records that a router has reported all its in-flight placements. */
+    void placementsReportedBy(HostId router) {
+        placementsReportedBy.add(router);
     }
 
-    /** Tells whether all known routers, this one among them, have told their placements, or would have by now. */
+    /** Returns whether all other known routers have reported their placements, or have had the time to. */
     boolean hasPeerPlacements(int knownRouters, long nowMillis) {
-        return !isYoung(nowMillis) || toldBy.size() >= knownRouters - 1;
+        return !isStarting(nowMillis) || placementsReportedBy.size() >= knownRouters - 1;
     }
 
-    /** Returns the time between two heartbeats. */
+    /** Returns the interval between heartbeats. */
     long heartbeatMillis(int knownRouters, long nowMillis) {
-        return (isYoung(nowMillis) ? YOUNG_HEARTBEAT_MILLIS : HEARTBEAT_MILLIS)
-                + Math.max(0, knownRouters - 1) * HEARTBEAT_MILLIS_EACH;
+        return (isStarting(nowMillis) ? STARTING_HEARTBEAT_MILLIS : HEARTBEAT_MILLIS)
+                + Math.max(0, knownRouters - 1) * HEARTBEAT_MILLIS_PER_ROUTER;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectChannel.java
@@ -23,199 +23,201 @@
 import org.apricotstack.wire.news.UpstreamEnded;
 
 /**
- * Tells the other routers of requests under which upstreams end, and takes in what they tell.
+ * Reports requests under which upstreams crash to the other routers, and applies their reports.
  *
- * <p>An attacker may send any number of different requests each of which ends an upstream, and each end is told of all
- * requests that were in flight. So the bytes are bounded: what is told of a request under which only one upstream ended
- * yet has an allowance of its own, and is dropped first. What is dropped is counted and stays known here.
+ * <p>An attacker may send any number of different requests each of which crashes an upstream, and each crash is
+ * reported with all requests that were in flight. So the traffic is bounded: reports of requests under which only one
+ * upstream has crashed so far have a budget of their own, and are dropped first. Dropped reports are counted; the
+ * crashes stay known to this router.
  */
 public final class SuspectChannel implements SuspectGossip {
 
-    /** Bytes a second that each of the two allowances gains; control has 2,000 a second for everything. */
+    /** Refill rate of each of the two budgets, in bytes a second; all control traffic has 2,000 bytes a second. */
     private static final double BYTES_PER_SECOND = 300;
 
-    /** Bytes of an allowance that was not used for long: a crash of ten upstreams in a fleet of hundreds. */
-    private static final double MOST_BYTES = 40_000;
+    /** Maximum of a budget, in bytes: enough for a crash of ten upstreams in a fleet of hundreds. */
+    private static final double MAX_BUDGET_BYTES = 40_000;
 
-    /** Requests that a router is told of when a stream to it opens, those with the most ends: some 10 kilobytes. */
-    private static final int MOST_TOLD_AT_ONCE = 64;
+    /**
+     * Maximum number of requests that are reported when a stream opens, those with the most crashes first; about 10
+     * kilobytes.
+     */
+    private static final int MAX_REPORTED_ON_CONNECT = 64;
 
     private final ServingLoop loop;
     private final SuspectTable table;
     private final DecisionLog log;
-    private final Supplier<NewsFrame.Builder> news;
+    private final Supplier<NewsFrame.Builder> frameBuilder;
     private final IntSupplier receivers;
-    private final TokenBucket first;
-    private final TokenBucket repeated;
-    private HeartbeatSender sender;
+    private final TokenBucket firstCrashBudget;
+    private final TokenBucket repeatedCrashBudget;
+    private HeartbeatSender heartbeats;
     private Consumer<RequestDigest> onCrashReported = request -> {};
-    private long heard;
+    private long received;
     private long dropped;
 
     /**
      * Creates a channel.
      *
-     * @param loop the thread
-     * @param table takes what others tell
-     * @param log takes what others tell
-     * @param news the frame that is sent at the end of this turn of the loop
-     * @param receivers how many routers that frame is sent to
+     * @param loop the event loop
+     * @param table receives the reports of other routers
+     * @param log receives the reports of other routers
+     * @param frameBuilder supplies the frame that is sent at the end of this turn of the event loop
+     * @param receivers number of routers to which that frame is sent
      */
     SuspectChannel(
             ServingLoop loop,
             SuspectTable table,
             DecisionLog log,
-            Supplier<NewsFrame.Builder> news,
+            Supplier<NewsFrame.Builder> frameBuilder,
             IntSupplier receivers) {
         this.loop = loop;
         this.table = table;
         this.log = log;
-        this.news = news;
+        this.frameBuilder = frameBuilder;
         this.receivers = receivers;
-        this.first = new TokenBucket(MOST_BYTES, nowNanos());
-        this.repeated = new TokenBucket(MOST_BYTES, nowNanos());
+        this.firstCrashBudget = new TokenBucket(MAX_BUDGET_BYTES, nowNanos());
+        this.repeatedCrashBudget = new TokenBucket(MAX_BUDGET_BYTES, nowNanos());
     }
 
-    /** Sets what reaches routers to which no stream is open. */
-    void tellThrough(HeartbeatSender heartbeats) {
-        sender = heartbeats;
+    /** Sets the sender that reaches routers without an open stream. */
+    void sendThrough(HeartbeatSender heartbeatSender) {
+        heartbeats = heartbeatSender;
     }
 
     /**
-     * Sets what is done when another router told of an end under a request.
+     * Sets the listener for crashes under a request that another router reports.
      *
-     * @param action takes the request
+     * @param action receives the request
      */
     public void onCrashReported(Consumer<RequestDigest> action) {
         onCrashReported = action;
     }
 
-    /** Reads the clock. */
+    /** Returns the current time, in nanoseconds. */
     private long nowNanos() {
         return TimeUnit.MILLISECONDS.toNanos(loop.nowMillis());
     }
 
-    /** Tells whether a message may be told now, and counts it if not. */
-    private boolean mayTell(TokenBucket allowance, MessageLite message) {
+    /** Returns whether the budget allows a message, and counts one that it does not allow. */
+    private boolean mayReport(TokenBucket budget, MessageLite message) {
         double bytes = (double) message.getSerializedSize() * Math.max(1, receivers.getAsInt());
-        boolean may = allowance.take(bytes, BYTES_PER_SECOND, MOST_BYTES, nowNanos()) == 0;
-        dropped += may ? 0 : 1;
-        return may;
+        boolean allowed = budget.take(bytes, BYTES_PER_SECOND, MAX_BUDGET_BYTES, nowNanos()) == 0;
+        dropped += allowed ? 0 : 1;
+        return allowed;
     }
 
     @Override
     public void upstreamCrashed(
-            UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun, boolean isRepeated) {
-        UpstreamEnded ended = SuspectMessages.ended(upstream, requests, begun);
-        if (mayTell(isRepeated ? repeated : first, ended)) {
-            sender.openStreams();
-            news.get().addUpstreamEnded(ended);
+            UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> answerStarted, boolean isRepeated) {
+        UpstreamEnded crash = SuspectMessages.ended(upstream, requests, answerStarted);
+        if (mayReport(isRepeated ? repeatedCrashBudget : firstCrashBudget, crash)) {
+            heartbeats.openStreams();
+            frameBuilder.get().addUpstreamEnded(crash);
         }
     }
 
     @Override
-    public void broadcast(SuspectedRequest suspicion) {
+    public void broadcast(SuspectedRequest suspect) {
         NewsFrame.Builder frame = NewsFrame.newBuilder();
-        suspicion.crashes().forEach(told -> frame.addUpstreamEnded(SuspectMessages.ended(suspicion.request(), told)));
+        suspect.crashes().forEach(crash -> frame.addUpstreamEnded(SuspectMessages.ended(suspect.request(), crash)));
         NewsFrame built = frame.build();
-        if (mayTell(repeated, built)) {
-            sender.sendToStandBy(EncodedFrame.of(built));
+        if (mayReport(repeatedCrashBudget, built)) {
+            heartbeats.sendToStandby(EncodedFrame.of(built));
         }
     }
 
     @Override
     public void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis) {
         Trial trial = SuspectMessages.trial(request, upstream, limitMillis);
-        if (mayTell(first, trial)) {
-            news.get().addTrials(trial);
+        if (mayReport(firstCrashBudget, trial)) {
+            frameBuilder.get().addTrials(trial);
         }
     }
 
     @Override
     public void trialEnded(RequestDigest request) {
         RequestHashes hashes = SuspectMessages.hashes(request);
-        if (mayTell(first, hashes)) {
-            news.get().addTrialsEnded(hashes);
+        if (mayReport(firstCrashBudget, hashes)) {
+            frameBuilder.get().addTrialsEnded(hashes);
         }
     }
 
     @Override
     public void served(RequestDigest request) {
         RequestHashes hashes = SuspectMessages.hashes(request);
-        if (mayTell(first, hashes)) {
-            news.get().addServed(hashes);
+        if (mayReport(firstCrashBudget, hashes)) {
+            frameBuilder.get().addServed(hashes);
         }
     }
 
-    /** Tells whether any request is suspected, of which the other routers have to hear. */
-    boolean any() {
+    /** Returns whether any request is suspected, which the other routers have to learn. */
+    boolean hasState() {
         return !table.isEmpty();
     }
 
-    /** Adds what is known to a frame for a router that missed news. */
+    /** Adds known crashes to a frame for a router that missed updates. */
     void addAll(NewsFrame.Builder frame) {
-        for (SuspectedRequest suspicion : table.list(MOST_TOLD_AT_ONCE, loop.nowMillis())) {
-            suspicion
-                    .crashes()
-                    .forEach(told -> frame.addUpstreamEnded(SuspectMessages.ended(suspicion.request(), told)));
+        for (SuspectedRequest suspect : table.list(MAX_REPORTED_ON_CONNECT, loop.nowMillis())) {
+            suspect.crashes().forEach(crash -> frame.addUpstreamEnded(SuspectMessages.ended(suspect.request(), crash)));
         }
     }
 
-    /** Forgets what a router was trying that is gone. */
-    void removeProcess(ProcessId gone) {
-        table.removeProcess(gone, loop.nowMillis());
+    /** Ends the trials of a router process that has ended. */
+    void removeProcess(ProcessId removed) {
+        table.removeProcess(removed, loop.nowMillis());
     }
 
-    /** Takes in what another router tells; its process is {@code null} in a datagram. */
-    void take(NewsFrame frame, ProcessId teller) {
+    /** Applies the reports of another router; its process is {@code null} for a datagram. */
+    void receive(NewsFrame frame, ProcessId sender) {
         long now = loop.nowMillis();
-        for (UpstreamEnded ended : frame.getUpstreamEndedList()) {
-            ended.getRequestsList().forEach(hashes -> takeEnd(ended, hashes, false, teller));
-            ended.getBegunList().forEach(hashes -> takeEnd(ended, hashes, true, teller));
+        for (UpstreamEnded crash : frame.getUpstreamEndedList()) {
+            crash.getRequestsList().forEach(hashes -> receiveCrash(crash, hashes, false, sender));
+            crash.getBegunList().forEach(hashes -> receiveCrash(crash, hashes, true, sender));
         }
-        if (teller != null) {
+        if (sender != null) {
             for (Trial trial : frame.getTrialsList()) {
                 RequestDigest request = SuspectMessages.digest(trial.getRequest());
-                table.trialStarted(request, teller, SuspectMessages.upstream(trial), now + trial.getLimitMillis());
+                table.trialStarted(request, sender, SuspectMessages.upstream(trial), now + trial.getLimitMillis());
             }
-            frame.getTrialsEndedList().forEach(hashes -> table.trialEnded(SuspectMessages.digest(hashes), teller, now));
+            frame.getTrialsEndedList().forEach(hashes -> table.trialEnded(SuspectMessages.digest(hashes), sender, now));
         }
         frame.getServedList().forEach(hashes -> table.requestServed(SuspectMessages.digest(hashes)));
     }
 
-    /** Takes in that an upstream ended under a request at another router. */
-    private void takeEnd(UpstreamEnded ended, RequestHashes hashes, boolean begun, ProcessId teller) {
+    /** Applies a crash of an upstream under a request at another router. */
+    private void receiveCrash(UpstreamEnded crash, RequestHashes hashes, boolean answerStarted, ProcessId sender) {
         long now = loop.nowMillis();
         RequestDigest request = SuspectMessages.digest(hashes);
-        UpstreamId upstream = SuspectMessages.upstream(ended);
-        long atMillis = now - Math.max(0, ended.getAgoMillis());
-        ProcessId seenBy = ended.getAgoMillis() == 0 ? teller : null;
-        if (!table.upstreamCrashed(request, new ObservedCrash(upstream, begun, atMillis), seenBy, now)) {
+        UpstreamId upstream = SuspectMessages.upstream(crash);
+        long atMillis = now - Math.max(0, crash.getAgoMillis());
+        ProcessId observer = crash.getAgoMillis() == 0 ? sender : null;
+        if (!table.upstreamCrashed(request, new ObservedCrash(upstream, answerStarted, atMillis), observer, now)) {
             return;
         }
-        heard++;
+        received++;
         log.line("heard_of_end")
                 .put("content", request.toString())
                 .put("upstream", upstream.value())
                 .put("incarnation", upstream.incarnation())
-                .put("events", begun)
-                .put("ago_millis", ended.getAgoMillis())
-                .put("source", teller == null ? "datagram" : teller.host().value())
+                .put("events", answerStarted)
+                .put("ago_millis", crash.getAgoMillis())
+                .put("source", sender == null ? "datagram" : sender.host().value())
                 .write();
         onCrashReported.accept(request);
     }
 
     /**
-     * Returns how many ends of upstreams under requests others told of.
+     * Returns the number of crashes that other routers reported.
      *
-     * @return ends since the start, one for each request
+     * @return crashes since the start, counted once for each request
      */
-    public long heard() {
-        return heard;
+    public long received() {
+        return received;
     }
 
     /**
-     * Returns how many messages were not told, as they were too many.
+     * Returns the number of messages that were dropped for lack of budget.
      *
      * @return messages since the start
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectMessages.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/SuspectMessages.java
@@ -9,12 +9,12 @@
 import org.apricotstack.wire.news.Trial;
 import org.apricotstack.wire.news.UpstreamEnded;
 
-/** Translates between what routers tell each other of suspected requests and the types of the core. */
+/** Converts suspected requests between wire messages and the types of the core. */
 final class SuspectMessages {
 
     private SuspectMessages() {}
 
-    /** Writes what tells a request apart. */
+    /** Encodes the hashes that identify a request. */
     static RequestHashes hashes(RequestDigest request) {
         return RequestHashes.newBuilder()
                 .setHead(request.head())
@@ -22,35 +22,35 @@
                 .build();
     }
 
-    /** Reads what tells a request apart. */
+    /** Decodes the hashes that identify a request. */
     static RequestDigest digest(RequestHashes hashes) {
         return new RequestDigest(hashes.getHead(), hashes.getBody());
     }
 
-    /** Writes the end of an upstream that happened now. */
-    static UpstreamEnded ended(UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun) {
+    /** Encodes a crash of an upstream that happened now. */
+    static UpstreamEnded ended(UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> answerStarted) {
         UpstreamEnded.Builder ended =
                 UpstreamEnded.newBuilder().setUpstream(upstream.value()).setIncarnation(upstream.incarnation());
         requests.forEach(request -> ended.addRequests(hashes(request)));
-        begun.forEach(request -> ended.addBegun(hashes(request)));
+        answerStarted.forEach(request -> ended.addBegun(hashes(request)));
         return ended.build();
     }
 
-    /** Writes the end of an upstream under one request, which happened some time ago. */
-    static UpstreamEnded ended(RequestDigest request, SuspectedRequest.ReportedCrash told) {
+    /** Encodes a crash of an upstream under one request that happened some time ago. */
+    static UpstreamEnded ended(RequestDigest request, SuspectedRequest.ReportedCrash crash) {
         UpstreamEnded.Builder ended = UpstreamEnded.newBuilder()
-                .setUpstream(told.upstream().value())
-                .setIncarnation(told.upstream().incarnation())
-                .setAgoMillis(told.ageMillis());
-        return (told.answerStarted() ? ended.addBegun(hashes(request)) : ended.addRequests(hashes(request))).build();
+                .setUpstream(crash.upstream().value())
+                .setIncarnation(crash.upstream().incarnation())
+                .setAgoMillis(crash.ageMillis());
+        return (crash.answerStarted() ? ended.addBegun(hashes(request)) : ended.addRequests(hashes(request))).build();
     }
 
-    /** Reads which upstream ended. */
+    /** Decodes which upstream crashed. */
     static UpstreamId upstream(UpstreamEnded ended) {
         return new UpstreamId(ended.getUpstream(), ended.getIncarnation());
     }
 
-    /** Writes the send of a suspected request. */
+    /** Encodes the trial of a suspected request. */
     static Trial trial(RequestDigest request, UpstreamId upstream, long limitMillis) {
         return Trial.newBuilder()
                 .setRequest(hashes(request))
@@ -60,7 +60,7 @@
                 .build();
     }
 
-    /** Reads to which upstream a suspected request is sent. */
+    /** Decodes the upstream of a trial. */
     static UpstreamId upstream(Trial trial) {
         return new UpstreamId(trial.getUpstream(), trial.getIncarnation());
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/UpstreamGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/UpstreamGossip.java
@@ -5,20 +5,20 @@
 import org.apricotstack.wire.news.NewsFrame;
 
 /**
- * What routers tell each other of upstreams beside placements.
+ * State of upstreams that routers exchange, other than placements.
  *
- * @param suspects requests under which upstreams ended
- * @param limits rate limits that upstreams named
+ * @param suspects requests under which upstreams crashed
+ * @param limits rate limits that upstreams advertised
  * @param drains drains that upstreams announced
  */
 record UpstreamGossip(SuspectChannel suspects, LimitChannel limits, DrainChannel drains) {
 
-    /** Tells whether anything is known of which the other routers have to hear. */
-    boolean any() {
-        return suspects.any() || limits.any() || drains.any();
+    /** Returns whether there is any state that the other routers have to learn. */
+    boolean hasState() {
+        return suspects.hasState() || limits.hasState() || drains.hasState();
     }
 
-    /** Adds all that is known to a frame for a router that missed news. */
+    /** Adds all state to a frame for a router that missed updates. */
     void addAll(NewsFrame.Builder frame) {
         suspects.addAll(frame);
         limits.addAll(frame);
@@ -26,15 +26,15 @@
     }
 
     /**
-     * Takes in what another router tells.
+     * Applies the state that another router reports.
      *
-     * @param frame the news
+     * @param frame the state update
      * @param process the router at the other end of a stream, or {@code null} if it is not known
      * @param sender where a datagram came from, or {@code null} for a stream
      */
-    void take(NewsFrame frame, ProcessId process, Address sender) {
-        suspects.take(frame, process);
-        limits.take(frame, sender);
-        drains.take(frame, sender);
+    void receive(NewsFrame frame, ProcessId process, Address sender) {
+        suspects.receive(frame, process);
+        limits.receive(frame, sender);
+        drains.receive(frame, sender);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/package-info.java
@@ -1,2 +1,2 @@
-/** What routers tell each other: who is alive, which engines run what, and documents that a peer lacks. */
+/** State updates between routers: membership, placements on engines, and documents that a peer lacks. */
 package org.apricotstack.serving.gossip;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/package-info.java
@@ -1,2 +1,2 @@
-/** A router that serves callers on a platform whose published state can only be read. */
+/** A router that serves callers on a platform whose published state it can only read. */
 package org.apricotstack.serving;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/CurrentConfiguration.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/CurrentConfiguration.java
@@ -8,8 +8,9 @@
 /**
  * The newest configuration that this router knows.
  *
- * <p>The operators' versions decide, not the platform's revisions: after the platform came back from an older copy an
- * older version has a greater revision, and a version that was in force once never goes back.
+ * <p>The operators' version decides which one is newer, not the platform's revision: after the platform is restored
+ * from an older backup, an older version can have a higher revision. A version that has been in force is never rolled
+ * back.
  */
 final class CurrentConfiguration {
 
@@ -17,9 +18,9 @@
     private final DecisionLog log;
     private ServingConfiguration decoded;
     private Publication document;
-    private long notTakenRevision;
+    private long ignoredRevision;
 
-    /** Creates a state without a configuration. */
+    /** Creates a holder without a configuration. */
     CurrentConfiguration(PublicationDecoder reader, DecisionLog log) {
         this.reader = reader;
         this.log = log;
@@ -46,21 +47,21 @@
     }
 
     /**
-     * Takes a configuration in if it is newer.
+     * Puts a configuration into force if it is newer.
      *
      * @param read the document
-     * @param source who brought it, for the log
+     * @param source where it came from, for the log
      * @throws ApricotException if it cannot be decoded
      */
-    void take(Publication read, String source) {
-        boolean known = read.revision() == revision() || read.revision() == notTakenRevision;
-        if (read.removed() || known || isOlderInItsHistory(read)) {
+    void apply(Publication read, String source) {
+        boolean known = read.revision() == revision() || read.revision() == ignoredRevision;
+        if (read.removed() || known || isOlderInSameHistory(read)) {
             return;
         }
         ServingConfiguration configuration = reader.configuration(read);
         boolean same = configuration.version() == version() && read.revision() < revision();
         if (configuration.version() < version() || same) {
-            notTakenRevision = read.revision();
+            ignoredRevision = read.revision();
             write("configuration_not_taken", configuration, read, source);
             return;
         }
@@ -69,12 +70,12 @@
         write("configuration_in_force", configuration, read, source);
     }
 
-    /** Tells whether a configuration was written before the one in force, in the same history. */
-    private boolean isOlderInItsHistory(Publication read) {
+    /** Returns whether a configuration has a lower revision than the one in force, in the same history. */
+    private boolean isOlderInSameHistory(Publication read) {
         return Revisions.history(read.revision()) == Revisions.history(revision()) && read.revision() < revision();
     }
 
-    /** Writes down what becomes of a configuration that was read. */
+    /** Logs whether a configuration was put into force. */
     private void write(String event, ServingConfiguration configuration, Publication read, String source) {
         log.line(event)
                 .put("version", configuration.version())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/Publication.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/Publication.java
@@ -4,19 +4,19 @@
 import org.apricotstack.core.upstream.Revisions;
 
 /**
- * A document as the platform published it.
+ * A document as published by the platform.
  *
- * @param upstream the upstream that it describes, whichever start, or {@code null} for the configuration
- * @param revision the platform's revision of it, see {@link Revisions}; grows with each change
- * @param content its bytes; empty if it was removed
+ * @param upstream the upstream that it describes, without an incarnation, or {@code null} for the configuration
+ * @param revision the platform's revision of the document, see {@link Revisions}; increases with each change
+ * @param content the bytes of the document; empty if it was removed
  * @param removed whether it was removed
  */
 public record Publication(UpstreamId upstream, long revision, byte[] content, boolean removed) {
 
     /**
-     * Tells whether it is the configuration.
+     * Returns whether this document is the configuration.
      *
-     * @return {@code false} for an upstream
+     * @return {@code true} for the configuration, {@code false} for an upstream
      */
     public boolean isConfiguration() {
         return upstream == null;
