--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationFollower.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationFollower.java
@@ -14,78 +14,80 @@
 import reactor.core.Disposables;
 
 /**
- * Reads everything once, then waits for changes, and begins again after each fault.
+ * Follows the platform: reads a full snapshot, then watches for changes, and starts over after each failure.
  *
- * <p>Calls are priced and their rate is shared by all routers, so there is never more than one call at a time, and
- * after a fault the pause before the next one grows and differs between routers.
+ * <p>Calls are charged and their rate is shared by all routers. So there is at most one call at a time, and after a
+ * failure the next one is delayed by an exponential back-off with jitter.
  */
 public final class PublicationFollower {
 
-    /** Least time that one wait lasts without a change, in milliseconds. */
-    private static final long LEAST_WAIT_MILLIS = 2_500;
+    /** Shortest watch without a change, in milliseconds. */
+    private static final long MIN_WAIT_MILLIS = 2_500;
 
     /**
-     * Added at random, in milliseconds: this for each known router, up to the most. Waits end at different times, so
-     * that
-     * soon after all connections have gone silent some router asks anew and the others hear of changes from it.
+     * Upper bound of the random extension of a watch for each following router, in milliseconds. Watches of different
+     * routers end at different times, so that soon after all connections have gone silent some router calls again and
+     * the others learn of changes from it.
      */
-    private static final long WAIT_MILLIS_EACH = 500;
+    private static final long ADDED_WAIT_MILLIS_PER_ROUTER = 500;
 
-    private static final long MOST_ADDED_MILLIS = 12_000;
+    private static final long MAX_ADDED_WAIT_MILLIS = 12_000;
 
     /**
-     * Time that the first wait after a change lasts at most, in milliseconds. If the platform comes back from an older
-     * copy in the pause before that wait, it may hold a revision of the same number that was given out again, and
-     * nothing tells so before the wait ends.
+     * Longest first watch after a change, in milliseconds. If the platform is restored from an older backup during the
+     * delay before that watch, it can issue the same revision number again, which goes unnoticed until the watch ends.
      */
-    private static final long AFTER_CHANGE_MILLIS = 1_200;
+    private static final long MAX_WAIT_AFTER_CHANGE_MILLIS = 1_200;
 
-    /** Pause before the next wait after a change, in milliseconds, so that changes in a row cost one call. */
-    private static final long GATHER_MILLIS = 120;
+    /** Delay before the next watch after a change, in milliseconds, so that a burst of changes costs one call. */
+    private static final long COALESCE_MILLIS = 120;
 
-    /** First pause after a fault, in milliseconds. */
-    private static final long FIRST_PAUSE_MILLIS = 60;
+    /** Back-off after the first failure, in milliseconds, before jitter. */
+    private static final long MIN_BACK_OFF_MILLIS = 60;
 
-    /** Longest pause after a fault, in milliseconds: what the return of the platform may go unnoticed. */
-    private static final long MOST_PAUSE_MILLIS = 700;
+    /** Longest back-off, in milliseconds, before jitter; bounds the time until a recovered platform is noticed. */
+    private static final long MAX_BACK_OFF_MILLIS = 700;
 
-    /** Time without an answer that counts as an outage, in milliseconds: more than one lost connection costs. */
+    /**
+     * Time without a response after which a failure counts as an outage, in milliseconds; longer than the effect of a
+     * single lost connection.
+     */
     private static final long OUTAGE_MILLIS = 800;
 
-    /** Time between two calls that are given up because peers know more, in milliseconds. */
-    private static final long RESTART_MILLIS = 2_000;
+    /** Shortest time between two calls that are aborted because peers know more, in milliseconds. */
+    private static final long MIN_RESTART_INTERVAL_MILLIS = 2_000;
 
     private final ServingLoop loop;
     private final PublicationSource source;
     private final PublishedState state;
     private final DecisionLog log;
     private final UniformRandomProvider random;
-    private final IntSupplier routers;
-    private final BooleanSupplier mustRead;
+    private final IntSupplier followingRouters;
+    private final BooleanSupplier mustFollow;
     private final Disposable.Swap call = Disposables.swap();
     private long known;
     private boolean readAll = true;
     private boolean afterChange;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private long backOffMillis = MIN_BACK_OFF_MILLIS;
     private long lastAnswerMillis;
-    private boolean away;
+    private boolean unavailable;
     private boolean idle;
     private long restartedMillis = Long.MIN_VALUE / 2;
-    private long round;
-    private long histories;
+    private long currentCallId;
+    private long historyChanges;
     private long calls;
     private long faults;
 
     /**
      * Creates a follower.
      *
-     * @param loop the thread
+     * @param loop the event loop
      * @param source the platform
-     * @param state takes what is read
-     * @param log takes losses and returns of the platform
-     * @param random spreads the calls of many routers
-     * @param routers how many routers follow at the same time
-     * @param mustRead whether this router has to follow the platform, and does not hear of changes from another one
+     * @param state receives what is read
+     * @param log receives losses and recoveries of the platform
+     * @param random jitter for the calls
+     * @param followingRouters number of routers that follow the platform at the same time
+     * @param mustFollow whether this router has to follow the platform, rather than learn of changes from a peer
      */
     public PublicationFollower(
             ServingLoop loop,
@@ -93,55 +95,55 @@
             PublishedState state,
             DecisionLog log,
             UniformRandomProvider random,
-            IntSupplier routers,
-            BooleanSupplier mustRead) {
+            IntSupplier followingRouters,
+            BooleanSupplier mustFollow) {
         this.loop = loop;
         this.source = source;
         this.state = state;
         this.log = log;
         this.random = random;
-        this.routers = routers;
-        this.mustRead = mustRead;
+        this.followingRouters = followingRouters;
+        this.mustFollow = mustFollow;
         this.lastAnswerMillis = loop.nowMillis();
     }
 
-    /** Begins to follow. */
+    /** Starts following the platform. */
     public void start() {
-        next();
+        startCall();
     }
 
-    /** Makes the next call, or none while another router tells what the platform says. */
-    private void next() {
-        long mine = ++round;
-        idle = known > 0 && !mustRead.getAsBoolean();
+    /** Starts the next call, or none while a peer reports the platform's changes to this router. */
+    private void startCall() {
+        long callId = ++currentCallId;
+        idle = known > 0 && !mustFollow.getAsBoolean();
         if (idle) {
             return;
         }
         calls++;
         call.update(
                 readAll
-                        ? source.readAll().subscribe(all -> tookAll(mine, all), error -> failed(mine, error))
+                        ? source.readAll().subscribe(all -> onSnapshot(callId, all), error -> onFailure(callId, error))
                         : source.awaitChanges(known, waitMillis())
-                                .subscribe(changes -> tookChanges(mine, changes), error -> failed(mine, error)));
+                                .subscribe(changes -> onChanges(callId, changes), error -> onFailure(callId, error)));
     }
 
-    /** Returns for how long to wait for a change. */
+    /** Returns the longest duration of the next watch, in milliseconds. */
     private long waitMillis() {
         if (afterChange) {
             afterChange = false;
-            return AFTER_CHANGE_MILLIS / 4 + random.nextLong(AFTER_CHANGE_MILLIS * 3 / 4);
+            return MAX_WAIT_AFTER_CHANGE_MILLIS / 4 + random.nextLong(MAX_WAIT_AFTER_CHANGE_MILLIS * 3 / 4);
         }
-        long added = Math.min(MOST_ADDED_MILLIS, WAIT_MILLIS_EACH * routers.getAsInt());
-        return LEAST_WAIT_MILLIS + random.nextLong(Math.max(1, added));
+        long added = Math.min(MAX_ADDED_WAIT_MILLIS, ADDED_WAIT_MILLIS_PER_ROUTER * followingRouters.getAsInt());
+        return MIN_WAIT_MILLIS + random.nextLong(Math.max(1, added));
     }
 
-    /** Takes everything in. */
-    private void tookAll(long mine, Snapshot all) {
-        if (mine != round) {
+    /** Applies a full snapshot. */
+    private void onSnapshot(long callId, Snapshot all) {
+        if (callId != currentCallId) {
             return;
         }
-        answered();
-        noteHistory(all.revision());
+        onAnswer();
+        recordHistory(all.revision());
         readAll = false;
         known = all.revision();
         long now = loop.nowMillis();
@@ -150,47 +152,47 @@
                 .toList();
         all.documents().stream()
                 .filter(Publication::isConfiguration)
-                .forEach(document -> state.take(document, "platform"));
-        state.takeAllUpstreams(listed, all.revision(), "platform", now);
-        next();
+                .forEach(document -> state.apply(document, "platform"));
+        state.applyUpstreamSnapshot(listed, all.revision(), "platform", now);
+        startCall();
     }
 
-    /** Takes changes in. */
-    private void tookChanges(long mine, Changes changes) {
-        if (mine != round) {
+    /** Applies the result of a watch. */
+    private void onChanges(long callId, Changes changes) {
+        if (callId != currentCallId) {
             return;
         }
-        answered();
-        long told =
+        onAnswer();
+        long lastReported =
                 changes.documents().stream().mapToLong(Publication::revision).reduce(known, Math::max);
-        if (changes.historyGone()) {
+        if (changes.resyncRequired()) {
             log.line("platform_history_gone")
                     .put("known", Revisions.text(known))
                     .write();
             readAll = true;
         } else {
-            changes.documents().forEach(document -> state.take(document, "platform"));
-            if (changes.revision() > told) {
-                // The platform counts a change that it did not tell, as a wait can be deaf for a while. Going on from
-                // its revision would lose that change for good.
+            changes.documents().forEach(document -> state.apply(document, "platform"));
+            if (changes.revision() > lastReported) {
+                // The platform's revision covers a change that it did not report, as a watch can miss changes for a
+                // while. Continuing from that revision would lose the change for good.
                 log.line("platform_change_missed")
-                        .put("told", Revisions.text(told))
+                        .put("told", Revisions.text(lastReported))
                         .put("revision", Revisions.text(changes.revision()))
                         .write();
                 readAll = true;
             }
-            known = told;
+            known = lastReported;
         }
         afterChange = !changes.documents().isEmpty();
         if (!afterChange || readAll) {
-            next();
+            startCall();
         } else {
-            nextAfter(mine, GATHER_MILLIS);
+            startCallAfter(callId, COALESCE_MILLIS);
         }
     }
 
-    /** Writes down that the platform began another history; what it lists may be some seconds old. */
-    private void noteHistory(long revision) {
+    /** Logs that the platform started another history, whose contents may be some seconds old. */
+    private void recordHistory(long revision) {
         if (revision < known) {
             log.line("platform_revision_fell")
                     .put("revision_before", Revisions.text(known))
@@ -198,7 +200,7 @@
                     .write();
         }
         if (known > 0 && Revisions.history(revision) != Revisions.history(known)) {
-            histories++;
+            historyChanges++;
             log.line("platform_history_changed")
                     .put("from", Revisions.history(known))
                     .put("to", Revisions.history(revision))
@@ -209,11 +211,11 @@
         }
     }
 
-    /** Notes an answer of the platform. */
-    private void answered() {
+    /** Records a response of the platform and ends an outage. */
+    private void onAnswer() {
         long now = loop.nowMillis();
-        if (away) {
-            away = false;
+        if (unavailable) {
+            unavailable = false;
             if (now - lastAnswerMillis > OUTAGE_MILLIS) {
                 state.platformReturned(now);
             }
@@ -222,82 +224,82 @@
                     .write();
         }
         lastAnswerMillis = now;
-        pauseMillis = FIRST_PAUSE_MILLIS;
+        backOffMillis = MIN_BACK_OFF_MILLIS;
     }
 
-    /** Takes a fault: tries again after a pause. */
-    private void failed(long mine, Throwable error) {
-        if (mine != round) {
+    /** Handles a failed call: tries again after a back-off. */
+    private void onFailure(long callId, Throwable error) {
+        if (callId != currentCallId) {
             return;
         }
         faults++;
-        // A wait that follows a fault can be deaf for seconds; what a list says is true when it is read.
+        // A watch after a failure can miss changes for seconds, whereas a snapshot is current when it is read.
         readAll = true;
-        if (!away) {
-            away = true;
+        if (!unavailable) {
+            unavailable = true;
             log.line("platform_lost").put("problem", error.getMessage()).write();
         }
-        long pause = pauseMillis / 2 + random.nextLong(pauseMillis);
-        pauseMillis = Math.min(MOST_PAUSE_MILLIS, 2 * pauseMillis);
-        nextAfter(mine, pause);
+        long delayMillis = backOffMillis / 2 + random.nextLong(backOffMillis);
+        backOffMillis = Math.min(MAX_BACK_OFF_MILLIS, 2 * backOffMillis);
+        startCallAfter(callId, delayMillis);
     }
 
-    /** Makes the next call after a pause, unless another one is made before. */
-    private void nextAfter(long mine, long pause) {
-        loop.schedule(pause, () -> {
-            if (mine == round) {
-                next();
+    /** Starts the next call after a delay, unless another one was started meanwhile. */
+    private void startCallAfter(long callId, long delayMillis) {
+        loop.schedule(delayMillis, () -> {
+            if (callId == currentCallId) {
+                startCall();
             }
         });
     }
 
-    /** Looks whether this router has to follow the platform again; called some times a second. */
-    public void look() {
-        if (idle && mustRead.getAsBoolean()) {
-            // It was not the platform that was silent meanwhile.
+    /** Starts following again if this router has to; called several times a second. */
+    public void resumeIfNeeded() {
+        if (idle && mustFollow.getAsBoolean()) {
+            // This router made no calls meanwhile, so the time without a response is no outage.
             lastAnswerMillis = loop.nowMillis();
-            next();
+            startCall();
         }
     }
 
     /**
-     * Tells whether this router follows the platform and is answered.
+     * Returns whether this router follows the platform and gets responses.
      *
      * @return whether others may rely on it
      */
-    public boolean reads() {
-        return !idle && !away && !readAll;
+    public boolean isFollowing() {
+        return !idle && !unavailable && !readAll;
     }
 
-    /** Gives a call up that seems dead, as peers know of changes that it should have told, and makes another. */
+    /** Replaces a call that seems dead because peers know of changes that it should have reported. */
     public void restartIfSilent() {
         long now = loop.nowMillis();
-        if (!idle && !away && now - restartedMillis > RESTART_MILLIS) {
+        if (!idle && !unavailable && now - restartedMillis > MIN_RESTART_INTERVAL_MILLIS) {
             restartedMillis = now;
             log.line("platform_wait_restarted")
                     .put("known", Revisions.text(known))
                     .write();
-            next();
+            startCall();
         }
     }
 
-    /** Reads everything again, as time passed unnoticed. */
-    public void readAgain() {
+    /** Reads a full snapshot again, because this process was stalled and may have missed changes. */
+    public void resync() {
         readAll = true;
-        next();
+        startCall();
     }
 
     /**
-     * Tells whether the platform does not answer.
+     * Returns whether the platform is unavailable.
      *
      * @return whether the last call failed
      */
-    public boolean away() {
-        return away;
+    public boolean unavailable() {
+        return unavailable;
     }
 
     /**
-     * Returns how many calls were made.
+     * Returns the number of calls.
      *
      * @return calls since the start
      */
@@ -306,25 +308,25 @@
     }
 
     /**
-     * Returns how often the platform began another history.
+     * Returns how often the platform started another history.
      *
      * @return changes of history since the start
      */
-    public long histories() {
-        return histories;
+    public long historyChanges() {
+        return historyChanges;
     }
 
     /**
      * Returns which history of the platform was read last.
      *
-     * @return its number; 0 if the platform does not say
+     * @return the number of the history; 0 if the platform reports none
      */
     public long history() {
         return Revisions.history(known);
     }
 
     /**
-     * Returns how many calls failed.
+     * Returns the number of failed calls.
      *
      * @return calls since the start
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationSource.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublicationSource.java
@@ -5,42 +5,42 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Reads what the platform publishes; each call ends by itself with a result or an error. Revisions are those of
- * {@link org.apricotstack.core.upstream.Revisions}.
+ * Reads documents that the platform publishes. Each call ends by itself with a result or an error. Revisions are those
+ * of {@link org.apricotstack.core.upstream.Revisions}.
  */
 public interface PublicationSource {
 
     /**
-     * Everything that is published.
+     * A snapshot of all published documents.
      *
-     * @param revision the platform's revision before the reading began; later changes may be missing
+     * @param revision the platform's revision before the snapshot was read; later changes may be missing
      * @param documents the configuration, if there is one, and all upstreams
      */
     record Snapshot(long revision, List<Publication> documents) {}
 
     /**
-     * What was changed since a revision.
+     * The changes since a revision.
      *
      * @param revision the platform's revision up to which the changes go
-     * @param documents the changes in their order
-     * @param historyGone whether the platform no longer knows them, or began another history, so that everything has to
-     *     be read
+     * @param documents the changed documents, in order of revision
+     * @param resyncRequired whether a full snapshot has to be read, because the platform no longer has these changes
+     *     or started another history
      */
-    record Changes(long revision, List<Publication> documents, boolean historyGone) {}
+    record Changes(long revision, List<Publication> documents, boolean resyncRequired) {}
 
     /**
-     * Reads everything.
+     * Reads all published documents.
      *
-     * @return the documents
+     * @return the snapshot
      */
     Mono<Snapshot> readAll();
 
     /**
-     * Waits for changes.
+     * Watches for changes.
      *
-     * @param after revision up to which changes are known
-     * @param waitMillis time after which the platform answers without a change, in milliseconds
-     * @return the changes, possibly none
+     * @param after revision up to which changes are known already
+     * @param waitMillis time after which the platform responds even without a change, in milliseconds
+     * @return the changes; the list may be empty
      */
     Mono<Changes> awaitChanges(long after, long waitMillis);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
@@ -23,26 +23,27 @@
 /**
  * The newest configuration and upstreams that this router knows, from the platform or from peers.
  *
- * <p>An older document never replaces a newer one, whoever brings it, and one that cannot be decoded replaces nothing.
+ * <p>An older document never replaces a newer one, whatever its source, and a document that cannot be decoded replaces
+ * nothing.
  */
 public final class PublishedState {
 
-    /** Names of rejected documents that are remembered, so that each is written down once; bounds the memory. */
-    private static final int MOST_REJECTED = 256;
+    /** Maximum number of rejected documents that are remembered, so that each is logged once. */
+    private static final int MAX_REMEMBERED_REJECTIONS = 256;
 
-    /** Longest problem that is written down, in characters: a foreign document may be quoted in it. */
-    private static final int MOST_PROBLEM_LETTERS = 200;
+    /** Maximum length of a logged problem, in characters; it may quote a document of unknown origin. */
+    private static final int MAX_PROBLEM_LENGTH = 200;
 
     private final PublicationDecoder reader;
     private final DecisionLog log;
     private final CurrentConfiguration configuration;
     private final UpstreamTable upstreams;
-    private final OutlierDetector judge;
-    private final EngineLoadTable board;
+    private final OutlierDetector outlierDetector;
+    private final EngineLoadTable loadTable;
     private final Map<UpstreamId, Publication> upstreamDocuments = new HashMap<>();
     private final Set<UpstreamId> rejectedUpstreams = new HashSet<>();
-    private Consumer<UpstreamEntry> whenEnded = ended -> {};
-    private Consumer<UpstreamId> whenServingAgain = upstream -> {};
+    private Consumer<UpstreamEntry> onUpstreamRemoved = ended -> {};
+    private Consumer<UpstreamId> onDrainEnded = upstream -> {};
     private boolean upstreamsKnown;
     private long rejected;
 
@@ -50,41 +51,41 @@
      * Creates an empty state.
      *
      * @param reader decodes documents
-     * @param upstreams takes the upstreams
-     * @param judge forgets upstreams that are gone
-     * @param board forgets engines that are gone
-     * @param log takes changes
+     * @param upstreams receives the upstreams
+     * @param outlierDetector drops the health records of removed upstreams
+     * @param loadTable drops the load of removed engines
+     * @param log receives changes
      */
     public PublishedState(
             PublicationDecoder reader,
             UpstreamTable upstreams,
-            OutlierDetector judge,
-            EngineLoadTable board,
+            OutlierDetector outlierDetector,
+            EngineLoadTable loadTable,
             DecisionLog log) {
         this.reader = reader;
         this.upstreams = upstreams;
-        this.judge = judge;
-        this.board = board;
+        this.outlierDetector = outlierDetector;
+        this.loadTable = loadTable;
         this.log = log;
         this.configuration = new CurrentConfiguration(reader, log);
     }
 
     /**
-     * Sets what is done when an upstream is gone or has started again.
+     * Sets the listener for upstreams that were removed or restarted.
      *
-     * @param action takes the start that is over, as it was last listed
+     * @param action receives the incarnation that ended, as it was last listed
      */
-    public void whenEnded(Consumer<UpstreamEntry> action) {
-        whenEnded = action;
+    public void onUpstreamRemoved(Consumer<UpstreamEntry> action) {
+        onUpstreamRemoved = action;
     }
 
     /**
-     * Sets what is done when an upstream that was listed as leaving is listed as taking requests.
+     * Sets the listener for upstreams that were listed as draining and now accept requests again.
      *
-     * @param action takes the start
+     * @param action receives the incarnation
      */
-    public void whenServingAgain(Consumer<UpstreamId> action) {
-        whenServingAgain = action;
+    public void onDrainEnded(Consumer<UpstreamId> action) {
+        onDrainEnded = action;
     }
 
     /**
@@ -142,7 +143,7 @@
     }
 
     /**
-     * Tells whether requests can be served.
+     * Returns whether requests can be served.
      *
      * @return whether a configuration and upstreams are known
      */
@@ -151,7 +152,7 @@
     }
 
     /**
-     * Returns how many documents could not be decoded.
+     * Returns the number of documents that could not be decoded.
      *
      * @return documents since the start
      */
@@ -160,37 +161,37 @@
     }
 
     /**
-     * Takes one document in.
+     * Applies one document.
      *
      * @param document the document
-     * @param source who brought it, for the log
+     * @param source where it came from, for the log
      */
-    public void take(Publication document, String source) {
+    public void apply(Publication document, String source) {
         try {
             if (document.isConfiguration()) {
-                configuration.take(document, source);
+                configuration.apply(document, source);
             } else if (document.removed()) {
                 upstreams.remove(document.upstream(), document.revision());
                 rejectedUpstreams.remove(document.upstream());
             } else {
-                takeUpstream(document, source);
+                applyUpstream(document, source);
             }
         } catch (ApricotException e) {
             reject(document, source, e);
         }
-        forgetEnded(source);
+        handleRemovedUpstreams(source);
     }
 
     /**
-     * Counts and writes down a document that cannot be used. One that describes an upstream may come from another
-     * writer, so it names no upstream from now on, not even the one that the document before it named. It is written
-     * down once until a sound one follows, as everything is read again after each fault of the platform.
+     * Counts and logs a document that cannot be used. One that describes an upstream may come from another writer, so
+     * it removes the upstream that the document before it named. It is logged once until a valid one follows, as
+     * everything is read again after each failure of the platform.
      */
     private void reject(Publication document, String source, ApricotException problem) {
         rejected++;
         if (!document.isConfiguration()) {
             upstreams.remove(document.upstream(), document.revision());
-            if (rejectedUpstreams.size() >= MOST_REJECTED || !rejectedUpstreams.add(document.upstream())) {
+            if (rejectedUpstreams.size() >= MAX_REMEMBERED_REJECTIONS || !rejectedUpstreams.add(document.upstream())) {
                 return;
             }
         }
@@ -202,12 +203,12 @@
                                 : document.upstream().value())
                 .put("revision", Revisions.text(document.revision()))
                 .put("source", source)
-                .put("problem", Ascii.truncate(problem.getMessage(), MOST_PROBLEM_LETTERS, "..."))
+                .put("problem", Ascii.truncate(problem.getMessage(), MAX_PROBLEM_LENGTH, "..."))
                 .write();
     }
 
-    /** Takes an upstream in if it is newer. */
-    private void takeUpstream(Publication document, String source) {
+    /** Applies an upstream if it is newer. */
+    private void applyUpstream(Publication document, String source) {
         UpstreamEntry entry = reader.upstream(document);
         rejectedUpstreams.remove(document.upstream());
         if (upstreams.put(entry)) {
@@ -224,9 +225,9 @@
         }
     }
 
-    /** Forgets what is kept of upstreams that are gone or have started again. */
-    private void forgetEnded(String source) {
-        upstreams.takeServingAgain().forEach(whenServingAgain);
+    /** Drops the state of upstreams that were removed or restarted, and notifies the listeners. */
+    private void handleRemovedUpstreams(String source) {
+        upstreams.takeServingAgain().forEach(onDrainEnded);
         for (UpstreamId doubted : upstreams.takeUnconfirmed()) {
             log.line("upstream_doubted")
                     .put("upstream", doubted.value())
@@ -240,7 +241,7 @@
             if (!startedAgain) {
                 upstreamDocuments.remove(entry.id().withoutIncarnation());
             }
-            whenEnded.accept(entry);
+            onUpstreamRemoved.accept(entry);
             log.line(startedAgain ? "upstream_started_again" : "upstream_gone")
                     .put("upstream", entry.id().value())
                     .put("incarnation", entry.id().incarnation())
@@ -249,25 +250,25 @@
                     .write();
         }
         if (!ended.isEmpty()) {
-            forgetUnlisted();
+            evictUnlisted();
         }
     }
 
-    /** Drops what is believed of starts that are not listed, unless something runs there. */
-    private void forgetUnlisted() {
-        judge.retain(id -> upstreams.find(id) != null);
-        board.retain(id -> upstreams.find(id) != null);
+    /** Drops the health records and load of unlisted incarnations, unless a request is still running there. */
+    private void evictUnlisted() {
+        outlierDetector.retain(id -> upstreams.find(id) != null);
+        loadTable.retain(id -> upstreams.find(id) != null);
     }
 
     /**
-     * Takes a whole list of upstreams in; listed ones that are missing from it are gone.
+     * Applies a complete list of upstreams; upstreams that are missing from it are removed.
      *
      * @param documents all upstreams
      * @param revision the platform's revision before the list was read
-     * @param source who brought it, for the log
-     * @param nowMillis the time
+     * @param source where it came from, for the log
+     * @param nowMillis the current time, in milliseconds
      */
-    public void takeAllUpstreams(List<Publication> documents, long revision, String source, long nowMillis) {
+    public void applyUpstreamSnapshot(List<Publication> documents, long revision, String source, long nowMillis) {
         List<UpstreamEntry> entries = new ArrayList<>();
         for (Publication document : documents) {
             try {
@@ -278,9 +279,9 @@
             }
         }
         upstreams.replaceAll(entries, revision, nowMillis);
-        documents.forEach(this::keepIfListed);
+        documents.forEach(this::keepDocumentIfListed);
         upstreamsKnown = true;
-        forgetEnded(source);
+        handleRemovedUpstreams(source);
         log.line("upstreams_read")
                 .put("count", entries.size())
                 .put("revision", Revisions.text(revision))
@@ -288,8 +289,8 @@
                 .write();
     }
 
-    /** Keeps a document for other routers if the entry that is listed comes from it. */
-    private void keepIfListed(Publication document) {
+    /** Keeps a document for other routers if the listed entry was decoded from it. */
+    private void keepDocumentIfListed(Publication document) {
         UpstreamEntry listed = upstreams.listed(document.upstream());
         if (listed != null && listed.revision() == document.revision()) {
             upstreamDocuments.put(document.upstream(), document);
@@ -297,23 +298,23 @@
     }
 
     /**
-     * Takes in what changed of the list of upstreams; listed ones that are not named are gone.
+     * Applies changes to the list of upstreams; upstreams that are not named are removed.
      *
      * @param changed the documents that are newer than what is known here
      * @param names all upstreams
      * @param revision the platform's revision up to which the list is complete
-     * @param source who brought it, for the log
-     * @param nowMillis the time
-     * @return whether the list could be put together; otherwise nothing changed, and the whole list is needed
+     * @param source where it came from, for the log
+     * @param nowMillis the current time, in milliseconds
+     * @return whether the list is complete; otherwise nothing was changed, and a full list is needed
      */
-    public boolean takeChangedUpstreams(
+    public boolean applyUpstreamChanges(
             List<Publication> changed, Collection<UpstreamId> names, long revision, String source, long nowMillis) {
-        Set<UpstreamId> brought = new HashSet<>();
-        changed.forEach(document -> brought.add(document.upstream()));
+        Set<UpstreamId> included = new HashSet<>();
+        changed.forEach(document -> included.add(document.upstream()));
         List<UpstreamEntry> entries = new ArrayList<>();
         for (UpstreamId name : names) {
             UpstreamEntry listed = upstreams.listed(name);
-            if (listed == null && !brought.contains(name)) {
+            if (listed == null && !included.contains(name)) {
                 return false;
             }
             if (listed != null) {
@@ -321,8 +322,8 @@
             }
         }
         upstreams.noteHistory(revision, nowMillis);
-        changed.forEach(document -> take(document, source));
-        for (UpstreamId name : brought) {
+        changed.forEach(document -> apply(document, source));
+        for (UpstreamId name : included) {
             UpstreamEntry listed = upstreams.listed(name);
             if (listed != null) {
                 entries.add(listed);
@@ -330,12 +331,12 @@
         }
         upstreams.replaceAll(entries, revision, nowMillis);
         upstreams.caughtUp(revision);
-        forgetEnded(source);
+        handleRemovedUpstreams(source);
         return true;
     }
 
     /**
-     * Returns how many upstreams are listed.
+     * Returns the number of listed upstreams.
      *
      * @return upstreams
      */
@@ -344,7 +345,7 @@
     }
 
     /**
-     * Notes that all changes up to a revision are known.
+     * Records that all changes up to a revision are known.
      *
      * @param revision the platform's revision of the last change that a peer knew
      */
@@ -353,30 +354,30 @@
     }
 
     /**
-     * Takes off upstreams that did not come back after an outage.
+     * Removes upstreams that were still missing when the grace period after an outage ended.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void removeExpired(long nowMillis) {
         upstreams.removeExpired(nowMillis);
-        forgetEnded("lapse");
-        forgetUnlisted();
+        handleRemovedUpstreams("lapse");
+        evictUnlisted();
     }
 
     /**
-     * Tells whether a start of an upstream is over, so that news of it mean nothing.
+     * Returns whether an incarnation was superseded, so that state updates about it are obsolete.
      *
-     * @param id the start
-     * @return whether a later start of the same upstream is known
+     * @param id the incarnation
+     * @return whether a later incarnation of the same upstream is known
      */
-    public boolean isOver(UpstreamId id) {
+    public boolean isSuperseded(UpstreamId id) {
         return upstreams.hasRestarted(id);
     }
 
     /**
-     * Notes that the platform answers again.
+     * Records that the platform responds again after an outage.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time, in milliseconds
      */
     public void platformReturned(long nowMillis) {
         upstreams.platformReturned(nowMillis);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/package-info.java
@@ -1,2 +1,4 @@
-/** Follows what the platform publishes, and what peers know of it while the platform does not answer. */
+/**
+ * Follows the documents that the platform publishes, and learns of them from peers while the platform is unavailable.
+ */
 package org.apricotstack.serving.publication;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DocumentExchangeTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DocumentExchangeTest.java
@@ -44,8 +44,8 @@
         log.close();
     }
 
-    /** Reads documents of which nothing but name and revision counts here. */
-    private static final class AnyDocument implements PublicationDecoder {
+    /** Decodes documents of which only the name and revision matter. */
+    private static final class NameAndRevisionDecoder implements PublicationDecoder {
         @Override
         public ServingConfiguration configuration(Publication document) {
             throw new AssertionError("No configuration is published here.");
@@ -66,7 +66,7 @@
 
     private PublishedState state() {
         return new PublishedState(
-                new AnyDocument(), new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
+                new NameAndRevisionDecoder(), new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
     }
 
     private static Publication upstream(String name, long revision) {
@@ -78,7 +78,7 @@
     }
 
     private void list(PublishedState state) {
-        state.takeAllUpstreams(List.of(upstream("a", 1), upstream("b", 2), upstream("c", 3)), 3, "platform", 0);
+        state.applyUpstreamSnapshot(List.of(upstream("a", 1), upstream("b", 2), upstream("c", 3)), 3, "platform", 0);
     }
 
     private static DocumentRequest newerThan(long revision) {
@@ -104,17 +104,17 @@
     }
 
     @Test
-    void takesWhatChangedAndWhatIsGone() {
+    void appliesChangesAndRemovals() {
         list(ownState);
         list(readerState);
-        readerState.take(upstream("b", 4), "platform");
-        readerState.take(removal("c", 5), "platform");
-        readerState.take(upstream("d", 6), "platform");
+        readerState.apply(upstream("b", 4), "platform");
+        readerState.apply(removal("c", 5), "platform");
+        readerState.apply(upstream("d", 6), "platform");
         NewsReply reply = reader.answer(newerThan(3));
         assertThat(reply.getUpstreamsList())
                 .extracting(PublishedDocument::getName)
                 .containsExactlyInAnyOrder("b", "d");
-        own.take(reply, "reader");
+        own.receive(reply, "reader");
         assertThat(ownState.upstreamDocuments())
                 .extracting(document -> document.upstream().value())
                 .containsExactlyInAnyOrder("a", "b", "d");
@@ -122,31 +122,34 @@
     }
 
     /**
-     * Symptom: a router goes on to send to an upstream that did not come back after an outage of the platform.
-     * Sequence: the reader of its data centre takes the entry off; no later change is published. Cause: the router asks
-     * for what has a newer revision only.
+     * Guards against requests to an upstream that did not come back after an outage of the platform. The platform
+     * reader of the data centre removes the entry, but no later change is published, and the router asked only for
+     * documents with a newer revision.
      */
     @Test
-    void hearsOfAnEntryThatDidNotComeBack() {
+    void learnsOfAnEntryThatDidNotComeBack() {
         list(ownState);
         list(readerState);
         readerState.platformReturned(0);
-        readerState.takeAllUpstreams(List.of(upstream("a", 1), upstream("b", 2)), 3, "platform", 0);
-        assertThat(own.listsOthers(peer(3), readerState.upstreamsListed())).isFalse();
+        readerState.applyUpstreamSnapshot(List.of(upstream("a", 1), upstream("b", 2)), 3, "platform", 0);
+        assertThat(own.hasDifferentUpstreams(peer(3), readerState.upstreamsListed()))
+                .isFalse();
         readerState.removeExpired(UpstreamTable.MISSING_GRACE_MILLIS);
-        assertThat(own.listsOthers(peer(3), readerState.upstreamsListed())).isTrue();
-        own.take(reader.answer(newerThan(2)), "reader");
+        assertThat(own.hasDifferentUpstreams(peer(3), readerState.upstreamsListed()))
+                .isTrue();
+        own.receive(reader.answer(newerThan(2)), "reader");
         assertThat(ownState.upstreamsListed()).isEqualTo(2);
-        assertThat(own.listsOthers(peer(3), readerState.upstreamsListed())).isFalse();
+        assertThat(own.hasDifferentUpstreams(peer(3), readerState.upstreamsListed()))
+                .isFalse();
     }
 
     @Test
-    void changesNothingIfItLacksAnEntryThatIsNamed() {
+    void changesNothingIfItLacksANamedEntry() {
         list(readerState);
-        ownState.takeAllUpstreams(List.of(upstream("a", 1)), 3, "platform", 0);
-        own.take(reader.answer(newerThan(2)), "reader");
+        ownState.applyUpstreamSnapshot(List.of(upstream("a", 1)), 3, "platform", 0);
+        own.receive(reader.answer(newerThan(2)), "reader");
         assertThat(ownState.upstreamsListed()).isEqualTo(1);
-        own.take(reader.answer(DocumentRequest.newBuilder().build()), "reader");
+        own.receive(reader.answer(DocumentRequest.newBuilder().build()), "reader");
         assertThat(ownState.upstreamsListed()).isEqualTo(3);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DrainChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/DrainChannelTest.java
@@ -18,7 +18,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** What routers tell each other of upstreams that announced that they leave. */
+/** Reports between routers about upstreams that announced a drain. */
 class DrainChannelTest {
 
     private static final UpstreamId UPSTREAM = new UpstreamId("upstream", 7);
@@ -32,13 +32,13 @@
     private final Router one = new Router();
     private final Router other = new Router();
 
-    /** A router. */
+    /** A router with its own drain table and channel. */
     private final class Router implements GossipPeers {
         private final DrainTable table = new DrainTable();
-        private final List<NewsFrame> standBy = new ArrayList<>();
-        private NewsFrame.Builder told = NewsFrame.newBuilder();
-        private int opened;
-        private final DrainChannel channel = new DrainChannel(loop, table, this, log, () -> told);
+        private final List<NewsFrame> standbyFrames = new ArrayList<>();
+        private NewsFrame.Builder reported = NewsFrame.newBuilder();
+        private int streamOpenings;
+        private final DrainChannel channel = new DrainChannel(loop, table, this, log, () -> reported);
 
         @Override
         public int others() {
@@ -46,28 +46,28 @@
         }
 
         @Override
-        public boolean isOver(UpstreamId upstream) {
+        public boolean isSuperseded(UpstreamId upstream) {
             return upstream.incarnation() < UPSTREAM.incarnation();
         }
 
         @Override
         public void openStreams() {
-            opened++;
+            streamOpenings++;
         }
 
         @Override
-        public void tellStandBy(NewsFrame frame) {
-            standBy.add(frame);
+        public void sendToStandby(NewsFrame frame) {
+            standbyFrames.add(frame);
         }
 
-        private void reads(AdvertisedDrain stated) {
-            table.answerReceived(UPSTREAM, stated, nowMillis, nowMillis);
-            channel.tell(UPSTREAM);
+        private void receiveAnswer(AdvertisedDrain advertised) {
+            table.answerReceived(UPSTREAM, advertised, nowMillis, nowMillis);
+            channel.broadcast(UPSTREAM);
         }
 
-        private NewsFrame takeTold() {
-            NewsFrame frame = told.build();
-            told = NewsFrame.newBuilder();
+        private NewsFrame takeReported() {
+            NewsFrame frame = reported.build();
+            reported = NewsFrame.newBuilder();
             return frame;
         }
     }
@@ -83,70 +83,70 @@
     }
 
     @Test
-    void tellsOfADrainAndOfItsEnd() {
+    void reportsStartAndEndOfADrain() {
         onLoop(() -> {
-            one.reads(AdvertisedDrain.DRAINING);
-            other.channel.take(one.takeTold(), null);
-            assertThat(one.opened).isEqualTo(1);
+            one.receiveAnswer(AdvertisedDrain.DRAINING);
+            other.channel.receive(one.takeReported(), null);
+            assertThat(one.streamOpenings).isEqualTo(1);
             assertThat(other.table.isDraining(UPSTREAM)).isTrue();
-            assertThat(other.channel.any()).isTrue();
+            assertThat(other.channel.hasState()).isTrue();
             nowMillis += 1_000;
-            one.reads(AdvertisedDrain.SERVING);
-            other.channel.take(one.takeTold(), null);
+            one.receiveAnswer(AdvertisedDrain.SERVING);
+            other.channel.receive(one.takeReported(), null);
             assertThat(other.table.isEmpty()).isTrue();
         });
     }
 
     @Test
-    void tellsRoutersThatStandByAgainAsDatagramsMayBeLost() {
-        onLoop(() -> one.reads(AdvertisedDrain.DRAINING));
-        onLoop(() -> assertThat(one.standBy).hasSize(1));
-        NewsFrame frame = one.standBy.get(0);
-        onLoop(() -> other.channel.take(frame, SENDER));
+    void repeatsDatagramsToStandbyRouters() {
+        onLoop(() -> one.receiveAnswer(AdvertisedDrain.DRAINING));
+        onLoop(() -> assertThat(one.standbyFrames).hasSize(1));
+        NewsFrame frame = one.standbyFrames.get(0);
+        onLoop(() -> other.channel.receive(frame, SENDER));
         assertThat(other.table.isDraining(UPSTREAM)).isTrue();
         assertThat(Flux.interval(Duration.ofMillis(20))
-                        .map(look -> sizeOfStandBy())
+                        .map(tick -> standbyFrameCount())
                         .filter(size -> size == 3)
                         .blockFirst(PATIENCE))
                 .isEqualTo(3);
     }
 
-    private int sizeOfStandBy() {
+    private int standbyFrameCount() {
         CompletableFuture<Integer> size = new CompletableFuture<>();
-        loop.execute(() -> size.complete(one.standBy.size()));
+        loop.execute(() -> size.complete(one.standbyFrames.size()));
         return size.join();
     }
 
     @Test
-    void addsAllThatIsKnownForARouterThatMissedNews() {
+    void addsAllDrainsForARouterThatMissedUpdates() {
         onLoop(() -> {
-            one.reads(AdvertisedDrain.DRAINING);
+            one.receiveAnswer(AdvertisedDrain.DRAINING);
             NewsFrame.Builder frame = NewsFrame.newBuilder();
             one.channel.addAll(frame);
             nowMillis += 50;
-            other.channel.take(frame.build(), null);
+            other.channel.receive(frame.build(), null);
         });
         assertThat(other.table.isDraining(UPSTREAM)).isTrue();
     }
 
     @Test
-    void takesNoNewsOfAStartThatIsOverNorOnesThatAreOlderThanTheEnd() {
+    void ignoresSupersededIncarnationsAndNoticesOlderThanTheEnd() {
         UpstreamId earlier = new UpstreamId(UPSTREAM.value(), UPSTREAM.incarnation() - 1);
         onLoop(() -> {
             one.table.answerReceived(earlier, AdvertisedDrain.DRAINING, nowMillis, nowMillis);
-            one.channel.tell(earlier);
-            other.channel.take(one.takeTold(), null);
+            one.channel.broadcast(earlier);
+            other.channel.receive(one.takeReported(), null);
             assertThat(other.table.isEmpty()).isTrue();
 
-            one.reads(AdvertisedDrain.DRAINING);
-            NewsFrame begin = one.takeTold();
-            other.channel.take(begin, null);
+            one.receiveAnswer(AdvertisedDrain.DRAINING);
+            NewsFrame started = one.takeReported();
+            other.channel.receive(started, null);
             nowMillis += 1_000;
-            one.reads(AdvertisedDrain.SERVING);
-            other.channel.take(one.takeTold(), null);
-            NewsFrame.Builder late = begin.toBuilder();
-            late.getDrainsBuilder(0).setAgoMillis(2_000);
-            other.channel.take(late.build(), null);
+            one.receiveAnswer(AdvertisedDrain.SERVING);
+            other.channel.receive(one.takeReported(), null);
+            NewsFrame.Builder obsolete = started.toBuilder();
+            obsolete.getDrainsBuilder(0).setAgoMillis(2_000);
+            other.channel.receive(obsolete.build(), null);
             assertThat(other.table.isEmpty()).isTrue();
         });
     }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/FleetLimitPeersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/FleetLimitPeersTest.java
@@ -23,7 +23,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Which router keeps the limit of an upstream, as heartbeats tell of the others. */
+/** Selection of the permit issuer of an upstream, given the heartbeats of the other routers. */
 class FleetLimitPeersTest {
 
     private static final Address ANY = new Address("127.0.0.1", 0);
@@ -49,11 +49,11 @@
         RouterIdentity identity = new RouterIdentity(
                 new ProcessId(OWN, 1), new DataCentreId("east"), port.address(), port.address(), 100);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> ready, new RequestRate(0), () -> true);
-        OutboundGossipStreams links = new OutboundGossipStreams(loop, peers, () -> null);
+        OutboundGossipStreams streams = new OutboundGossipStreams(loop, peers, () -> null);
         HeartbeatSender sender =
-                new HeartbeatSender(null, own, peers, links, port, start, port.address(), () -> 500, () -> false);
-        fleet.tellThrough(sender, port);
-        sender.beat(0);
+                new HeartbeatSender(null, own, peers, streams, port, start, port.address(), () -> 500, () -> false);
+        fleet.sendThrough(sender, port);
+        sender.sendHeartbeats(0);
     }
 
     @AfterEach
@@ -63,7 +63,7 @@
         log.close();
     }
 
-    private void hear(HostId host, boolean isReady, boolean takesCallers) {
+    private void addPeer(HostId host, boolean isReady, boolean takesCallers) {
         Address address = new Address("127.0.0.1", 1_000 + host.value().length());
         peers.recordHeartbeat(
                 new Peer(
@@ -81,8 +81,8 @@
                 nowMillis);
     }
 
-    /** Returns an upstream of which a host would be the keeper if both were in touch. */
-    private UpstreamId keptBy(HostId host) {
+    /** Returns an upstream whose permit issuer is the given host if both routers are in touch. */
+    private UpstreamId upstreamIssuedBy(HostId host) {
         for (int i = 0; ; i++) {
             UpstreamId upstream = new UpstreamId("upstream-" + i);
             if (PermitIssuerSelector.of(upstream, List.of(OWN, PEER), 0).host().equals(host)) {
@@ -92,44 +92,44 @@
     }
 
     @Test
-    void isThisRouterIfItIsAlone() {
+    void selectsThisRouterIfItIsAlone() {
         assertThat(fleet.permitIssuerOf(UPSTREAM)).isEqualTo(new PermitIssuerSelector(OWN, 1));
     }
 
     @Test
-    void isNobodyWhileThisRouterHasNotHeardTheOthersThatItKnowsOf() {
+    void selectsNobodyUntilTheOtherKnownRoutersHaveReported() {
         knownRouters = 2;
         assertThat(fleet.permitIssuerOf(UPSTREAM).host()).isNull();
-        start.toldBy(PEER);
+        start.placementsReportedBy(PEER);
         assertThat(fleet.permitIssuerOf(UPSTREAM).host()).isEqualTo(OWN);
     }
 
     @Test
-    void isTheOtherRouterThatAllChoose() {
-        hear(PEER, true, true);
+    void selectsTheSameRouterAsTheOthers() {
+        addPeer(PEER, true, true);
         knownRouters = 2;
-        start.toldBy(PEER);
-        assertThat(fleet.permitIssuerOf(keptBy(PEER))).isEqualTo(new PermitIssuerSelector(PEER, 1));
-        assertThat(fleet.permitIssuerOf(keptBy(OWN))).isEqualTo(new PermitIssuerSelector(OWN, 1));
+        start.placementsReportedBy(PEER);
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelector(PEER, 1));
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(OWN))).isEqualTo(new PermitIssuerSelector(OWN, 1));
     }
 
     @Test
-    void isNoRouterThatStandsByOrStops() {
+    void skipsStandbyAndStoppingRouters() {
         knownRouters = 2;
-        start.toldBy(PEER);
-        hear(PEER, true, false);
-        assertThat(fleet.permitIssuerOf(keptBy(PEER)).host()).isEqualTo(OWN);
-        hear(PEER, false, true);
-        assertThat(fleet.permitIssuerOf(keptBy(PEER)).host()).isEqualTo(OWN);
-        hear(PEER, true, true);
+        start.placementsReportedBy(PEER);
+        addPeer(PEER, true, false);
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER)).host()).isEqualTo(OWN);
+        addPeer(PEER, false, true);
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER)).host()).isEqualTo(OWN);
+        addPeer(PEER, true, true);
         ready = false;
-        assertThat(fleet.permitIssuerOf(keptBy(OWN)).host()).isEqualTo(PEER);
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(OWN)).host()).isEqualTo(PEER);
     }
 
     @Test
-    void speaksForHalfOfTheRoutersIfTheOtherHalfIsSilent() {
-        hear(PEER, true, true);
+    void issuesHalfOfTheLimitIfHalfOfTheRoutersAreSilent() {
+        addPeer(PEER, true, true);
         nowMillis = 10_000;
-        assertThat(fleet.permitIssuerOf(keptBy(PEER))).isEqualTo(new PermitIssuerSelector(OWN, 0.5));
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelector(OWN, 0.5));
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipHubTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipHubTest.java
@@ -35,20 +35,20 @@
 class GossipHubTest {
 
     private static final ProcessId PEER = new ProcessId(new HostId("peer"), 1);
-    private static final long LISTED_START = 200;
+    private static final long LISTED_INCARNATION = 200;
 
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final OutlierDetector judge = new OutlierDetector();
-    private final EngineLoadTable board = new EngineLoadTable();
-    private final PublishedState state = new PublishedState(null, upstreams, judge, board, log);
+    private final OutlierDetector outlierDetector = new OutlierDetector();
+    private final EngineLoadTable loadTable = new EngineLoadTable();
+    private final PublishedState state = new PublishedState(null, upstreams, outlierDetector, loadTable, log);
     private final GossipHub hub = new GossipHub(
             loop,
             new PeerTable(),
-            board,
-            judge,
-            new SuspectTable(PEER, found -> {}),
+            loadTable,
+            outlierDetector,
+            new SuspectTable(PEER, suspect -> {}),
             new LimitTable(),
             new DrainTable(),
             new HostId("own"),
@@ -61,7 +61,7 @@
     @BeforeEach
     void listTheEngine() {
         upstreams.put(new UpstreamEntry(
-                start(LISTED_START),
+                incarnation(LISTED_INCARNATION),
                 new ServiceId("service"),
                 new Address("127.0.0.1", 1),
                 new DataCentreId("east"),
@@ -77,11 +77,11 @@
         log.close();
     }
 
-    private static UpstreamId start(long incarnation) {
+    private static UpstreamId incarnation(long incarnation) {
         return new UpstreamId("engine", incarnation);
     }
 
-    private void take(NewsFrame frame) {
+    private void receive(NewsFrame frame) {
         InboundGossipStream stream = new InboundGossipStream();
         stream.sender(PEER);
         hub.frame(frame, stream);
@@ -91,37 +91,37 @@
     }
 
     @Test
-    void forgetsPlacementsOfWhichAPeerNoLongerTells() {
+    void dropsPlacementsThatAPeerNoLongerReports() {
         ProcessId other = new ProcessId(new HostId("other"), 1);
-        EnginePart part = new EnginePart(start(LISTED_START), 100, 5_000);
-        board.place(new EnginePlacement(new PlacementId(PEER, 1), List.of(part), 5_000, 300, 250), 0, 10_000);
-        board.place(new EnginePlacement(new PlacementId(other, 1), List.of(part), 5_000, 300, 250), 0, 10_000);
+        EnginePart part = new EnginePart(incarnation(LISTED_INCARNATION), 100, 5_000);
+        loadTable.place(new EnginePlacement(new PlacementId(PEER, 1), List.of(part), 5_000, 300, 250), 0, 10_000);
+        loadTable.place(new EnginePlacement(new PlacementId(other, 1), List.of(part), 5_000, 300, 250), 0, 10_000);
         EnginePlacement kept = new EnginePlacement(new PlacementId(PEER, 2), List.of(part), 5_000, 300, 250);
-        take(NewsFrame.newBuilder()
+        receive(NewsFrame.newBuilder()
                 .setWhole(true)
                 .addPlaced(GossipMessages.placed(kept, 10_000))
                 .build());
-        assertThat(board.size()).isEqualTo(2);
-        take(NewsFrame.newBuilder().setWhole(true).build());
-        assertThat(board.size()).isEqualTo(1);
+        assertThat(loadTable.size()).isEqualTo(2);
+        receive(NewsFrame.newBuilder().setWhole(true).build());
+        assertThat(loadTable.size()).isEqualTo(1);
     }
 
     /**
-     * Symptom: an engine that has just started again is avoided, or counts as busy. Sequence: it starts again; a peer
-     * that does not know yet tells of a prompt that it placed there and of a failure. Cause: news named the engine but
-     * not which of its starts was meant.
+     * Guards against a restarted engine that is avoided or counted as busy. A peer that does not know of the restart
+     * yet reports a placement and a failure; the update named the engine but not its incarnation.
      */
     @ParameterizedTest
     @CsvSource({"100, 0, 0", "200, 1, 0.95", "300, 1, 0.95"})
-    void takesNoNewsOfAnEarlierStart(long told, int leads, double failureProbability) {
+    void ignoresUpdatesAboutAnEarlierIncarnation(long reported, int leads, double failureProbability) {
         EnginePlacement placement = new EnginePlacement(
-                new PlacementId(PEER, 1), List.of(new EnginePart(start(told), 100, 5_000)), 5_000, 300, 250);
-        take(NewsFrame.newBuilder()
+                new PlacementId(PEER, 1), List.of(new EnginePart(incarnation(reported), 100, 5_000)), 5_000, 300, 250);
+        receive(NewsFrame.newBuilder()
                 .addPlaced(GossipMessages.placed(placement, 10_000))
-                .addAvoided(GossipMessages.avoided(start(told), 1_000))
+                .addAvoided(GossipMessages.avoided(incarnation(reported), 1_000))
                 .build());
-        assertThat(board.load(start(told)).leadCount()).isEqualTo(leads);
-        assertThat(judge.failureProbability(start(told), 0)).isEqualTo(failureProbability);
-        assertThat(board.load(start(LISTED_START)).leadCount()).isEqualTo(told == LISTED_START ? 1 : 0);
+        assertThat(loadTable.load(incarnation(reported)).leadCount()).isEqualTo(leads);
+        assertThat(outlierDetector.failureProbability(incarnation(reported), 0)).isEqualTo(failureProbability);
+        assertThat(loadTable.load(incarnation(LISTED_INCARNATION)).leadCount())
+                .isEqualTo(reported == LISTED_INCARNATION ? 1 : 0);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipServerTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/GossipServerTest.java
@@ -22,7 +22,7 @@
 
 class GossipServerTest {
 
-    /** Longest time that a test waits for bytes, in milliseconds; it fails then. */
+    /** Timeout for a read, in milliseconds. */
     private static final int PATIENCE_MILLIS = 15_000;
 
     private static final NewsFrame HEARTBEAT = NewsFrame.newBuilder()
@@ -30,7 +30,7 @@
             .build();
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
-    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new Documents());
+    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new DocumentHandler());
 
     @AfterEach
     void stop() {
@@ -38,11 +38,11 @@
         loop.close();
     }
 
-    /** Answers every request for documents with one revision. */
-    private static final class Documents implements GossipHandler {
+    /** Replies to every document request with one revision. */
+    private static final class DocumentHandler implements GossipHandler {
         @Override
         public void frame(NewsFrame frame, InboundGossipStream stream) {
-            // What is told is not looked at here.
+            // Frames are irrelevant here.
         }
 
         @Override
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void answersHeartbeatsAndQuestionsAndNothingElse() throws IOException {
+    void repliesOnlyToHeartbeatsAndDocumentRequests() throws IOException {
         try (Socket peer = connect()) {
             send(peer, HEARTBEAT);
             send(peer, NewsFrame.newBuilder().addEnded(1).build());
@@ -96,17 +96,17 @@
     }
 
     /**
-     * Symptom: a router runs out of memory, or stops to hear its peers. Sequence: something connects to the port for
-     * routers that is none: a browser, a scanner, a router whose stream was garbled. Cause to be excluded: its first
-     * bytes are taken for the length of a message, and waited for or allocated.
+     * Guards against a router that runs out of memory or stops receiving from its peers because something else
+     * connects to its gossip port: a browser, a scanner, or a router with a corrupted stream. The first bytes would be
+     * taken for the length of a message, and be waited for or allocated.
      */
     @ParameterizedTest
     @ValueSource(strings = {"GET / HTTP/1.1\r\n\r\n", "\u007f\u007f\u007f\u007f", "\0\0\0\u0002\u00ff\u00ff"})
-    void endsStreamsOfOthersAndGoesOn(String bytes) throws IOException {
-        try (Socket foreign = connect();
+    void closesMalformedStreamsAndServesOthers(String bytes) throws IOException {
+        try (Socket otherClient = connect();
                 Socket peer = connect()) {
-            foreign.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-            assertThat(foreign.getInputStream().read()).isNegative();
+            otherClient.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+            assertThat(otherClient.getInputStream().read()).isNegative();
             assertThat(malformed()).isEqualTo(1);
             send(peer, HEARTBEAT);
             assertThat(reply(peer)).isEqualTo(NewsReply.getDefaultInstance());
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatPortTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatPortTest.java
@@ -21,7 +21,7 @@
 class HeartbeatPortTest {
 
     private static final Address ANY = new Address("127.0.0.1", 0);
-    private static final NewsFrame BEAT = NewsFrame.newBuilder()
+    private static final NewsFrame HEARTBEAT = NewsFrame.newBuilder()
             .setHeartbeat(Heartbeat.newBuilder().setHost("host-1"))
             .build();
 
@@ -33,30 +33,30 @@
     }
 
     /**
-     * Symptom: routers are suspected by turns though all are sound. Sequence: something that is no heartbeat arrives at
-     * the port, or a host to which a datagram was sent is gone. Cause to be excluded: an error that closes the port.
+     * Guards against an error that closes the port after a datagram that is no heartbeat, or after one that was sent
+     * to a dead host. Healthy routers would be suspected in turn.
      */
     @Test
-    void goesOnAfterWhatIsNoHeartbeatAndAfterAHostThatIsGone() throws Exception {
-        CompletableFuture<NewsFrame> taken = new CompletableFuture<>();
+    void keepsReceivingAfterMalformedDatagramsAndDeadHosts() throws Exception {
+        CompletableFuture<NewsFrame> received = new CompletableFuture<>();
         try (HeartbeatPort sender = new HeartbeatPort(loop, ANY);
                 HeartbeatPort receiver = new HeartbeatPort(loop, ANY)) {
-            receiver.take((frame, from) -> taken.complete(frame));
+            receiver.onFrame((frame, from) -> received.complete(frame));
             sendGarbage(receiver.address());
-            sender.send(addressOfNobody(), EncodedFrame.of(BEAT));
-            sender.send(receiver.address(), EncodedFrame.of(BEAT));
-            assertThat(taken.get(30, TimeUnit.SECONDS)).isEqualTo(BEAT);
+            sender.send(unusedAddress(), EncodedFrame.of(HEARTBEAT));
+            sender.send(receiver.address(), EncodedFrame.of(HEARTBEAT));
+            assertThat(received.get(30, TimeUnit.SECONDS)).isEqualTo(HEARTBEAT);
             assertThat(receiver.malformed()).isEqualTo(1);
         }
     }
 
     @Test
-    void saysWhichAddressCannotBeUsed() {
+    void namesTheAddressThatCannotBeBound() {
         try (HeartbeatPort first = new HeartbeatPort(loop, ANY)) {
-            Address taken = first.address();
-            assertThatThrownBy(() -> new HeartbeatPort(loop, taken))
+            Address received = first.address();
+            assertThatThrownBy(() -> new HeartbeatPort(loop, received))
                     .isInstanceOf(ApricotException.class)
-                    .hasMessageContaining(taken.toString())
+                    .hasMessageContaining(received.toString())
                     .hasMessageContaining("end the program");
         }
     }
@@ -68,8 +68,8 @@
         }
     }
 
-    /** Returns an address at which nobody listens any more. */
-    private static Address addressOfNobody() throws IOException {
+    /** Returns an address at which nobody listens any more, as its socket was closed. */
+    private static Address unusedAddress() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
             return new Address("127.0.0.1", socket.getLocalPort());
         }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatSenderTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/HeartbeatSenderTest.java
@@ -33,45 +33,45 @@
 
 class HeartbeatSenderTest {
 
-    /** Longest time that a test waits for a datagram, in seconds; it fails then. */
+    /** Timeout for a datagram, in seconds. */
     private static final long PATIENCE_SECONDS = 15;
 
     private static final Address ANY = new Address("127.0.0.1", 0);
     private static final DataCentreId EAST = new DataCentreId("east");
 
-    /** Routers that are stronger than the one that is looked at: more than all take callers in, with it. */
-    private static final int STRONGER = 20;
+    /** Number of routers with more capacity than the weak sender; enough that it is not chosen to be active. */
+    private static final int STRONGER_ROUTERS = 20;
 
-    /** Beats that are looked at: a whole round. */
-    private static final int BEATS = 48;
+    /** Number of rounds that are checked: one period of the longest interval. */
+    private static final int ROUNDS = 48;
 
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final PeerTable peers = new PeerTable();
-    private final OutboundGossipStreams links = new OutboundGossipStreams(
+    private final OutboundGossipStreams streams = new OutboundGossipStreams(
             loop, peers, () -> NewsFrame.newBuilder().setWhole(true).build());
-    private final List<Heartbeat> arrived = new ArrayList<>();
-    private final CountDownLatch last = new CountDownLatch(1);
+    private final List<Heartbeat> received = new ArrayList<>();
+    private final CountDownLatch lastFrame = new CountDownLatch(1);
     private final HeartbeatPort port = new HeartbeatPort(loop, ANY);
     private final HeartbeatPort receiver = new HeartbeatPort(loop, ANY);
 
     @BeforeEach
     void receive() {
-        receiver.take((frame, sender) -> {
+        receiver.onFrame((frame, sender) -> {
             if (frame.hasHeartbeat()) {
-                arrived.add(frame.getHeartbeat());
+                received.add(frame.getHeartbeat());
             } else {
-                last.countDown();
+                lastFrame.countDown();
             }
         });
-        for (int i = 0; i < STRONGER; i++) {
-            hear(peer("strong-" + i, EAST, new Address("127.0.0.1", 1 + i), 150, true));
+        for (int i = 0; i < STRONGER_ROUTERS; i++) {
+            addPeer(peer("strong-" + i, EAST, new Address("127.0.0.1", 1 + i), 150, true));
         }
     }
 
     @AfterEach
     void stop() {
-        links.close();
+        streams.close();
         port.close();
         receiver.close();
         loop.close();
@@ -94,13 +94,13 @@
                 60_000);
     }
 
-    private void hear(Peer peer) {
+    private void addPeer(Peer peer) {
         peers.recordHeartbeat(peer, 0);
-        links.heard(peer);
+        streams.reported(peer);
     }
 
-    /** Takes nothing, as nobody sends here. */
-    private static final class Nothing implements GossipHandler {
+    /** Fails on any message, as nobody sends one to this router. */
+    private static final class UnusedHandler implements GossipHandler {
         @Override
         public void frame(NewsFrame frame, InboundGossipStream stream) {
             throw new AssertionError("Nobody sends here.");
@@ -124,7 +124,15 @@
                 new ProcessId(new HostId("self"), 1), EAST, port.address(), port.address(), capacityPercent);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> true, new RequestRate(0), () -> true);
         return new HeartbeatSender(
-                new Nothing(), own, peers, links, port, new StartPhase(0), port.address(), () -> 1_000, () -> false);
+                new UnusedHandler(),
+                own,
+                peers,
+                streams,
+                port,
+                new StartPhase(0),
+                port.address(),
+                () -> 1_000,
+                () -> false);
     }
 
     private void onLoop(Runnable task) {
@@ -132,8 +140,8 @@
     }
 
     /**
-     * Symptom: routers that stand by use a tenth of a core while nothing happens. Sequence: each tells each other every
-     * second that it is there. Cause: all heard of all equally often, whoever needs to know of whom.
+     * Guards against idle standby routers that use a tenth of a core. They did when each router sent a heartbeat to
+     * each other one every second, whether or not the receiver needed it that often.
      */
     @ParameterizedTest
     @CsvSource({
@@ -146,71 +154,77 @@
         "200, east, false, 48, 1000",
         "200, west, false, 16, 3000"
     })
-    void tellsEachRouterAsOftenAsItNeedsToKnow(
-            int capacityPercent, String dataCentre, boolean peerTakesCallers, int expectedBeats, int expectedNextMillis)
+    void sendsToEachRouterAsOftenAsItNeeds(
+            int capacityPercent,
+            String dataCentre,
+            boolean peerTakesCallers,
+            int expectedHeartbeats,
+            int expectedNextMillis)
             throws InterruptedException {
-        hear(peer("receiver", new DataCentreId(dataCentre), receiver.address(), 5, peerTakesCallers));
+        addPeer(peer("receiver", new DataCentreId(dataCentre), receiver.address(), 5, peerTakesCallers));
         HeartbeatSender sender = sender(capacityPercent);
         onLoop(() -> {
-            sender.beatToAll(StartPhase.YOUNG_MILLIS);
-            arrived.clear();
-            for (int i = 0; i < BEATS; i++) {
-                sender.beat(StartPhase.YOUNG_MILLIS);
+            sender.sendToAllRouters(StartPhase.START_MILLIS);
+            received.clear();
+            for (int i = 0; i < ROUNDS; i++) {
+                sender.sendHeartbeats(StartPhase.START_MILLIS);
             }
             port.send(
                     receiver.address(),
                     EncodedFrame.of(NewsFrame.newBuilder().addEnded(1).build()));
         });
-        assertThat(last.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
-        // The one that went to all before the round arrives too.
-        assertThat(arrived).hasSize(expectedBeats + 1);
-        assertThat(arrived).extracting(Heartbeat::getNextMillis).containsOnly(expectedNextMillis);
+        assertThat(lastFrame.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        // The heartbeat that went to all routers before the first round arrives too.
+        assertThat(received).hasSize(expectedHeartbeats + 1);
+        assertThat(received).extracting(Heartbeat::getNextMillis).containsOnly(expectedNextMillis);
     }
 
     /**
-     * Symptom: a router that stands by is suspected a few seconds after it was heard first. Sequence: one that has just
-     * started is told of the others at once, by all of them. Cause: what they said of their next heartbeat was too
-     * soon.
+     * Guards against a standby router that is suspected a few seconds after its first heartbeat. All routers introduce
+     * themselves to a newcomer at once; the introduction announced the next heartbeat too early.
      */
     @Test
-    void saysInAnIntroductionThatTheNextHeartbeatMayBeFar() throws InterruptedException {
-        Peer young = peer("receiver", EAST, receiver.address(), 5, false);
+    void announcesTheLongestIntervalInAnIntroduction() throws InterruptedException {
+        Peer newcomer = peer("receiver", EAST, receiver.address(), 5, false);
         HeartbeatSender sender = sender(10);
         onLoop(() -> {
-            sender.introduce(young);
+            sender.introduce(newcomer);
             port.send(
                     receiver.address(),
                     EncodedFrame.of(NewsFrame.newBuilder().addEnded(1).build()));
         });
-        assertThat(last.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
-        assertThat(arrived).singleElement().extracting(Heartbeat::getNextMillis).isEqualTo(12_000);
+        assertThat(lastFrame.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(received)
+                .singleElement()
+                .extracting(Heartbeat::getNextMillis)
+                .isEqualTo(12_000);
     }
 
     /**
-     * Symptom: routers that start together use twice the processor time of one that starts alone. Sequence: each has
-     * heard of few others, so takes itself for part of a small fleet, and opens streams to all of them. Cause: streams
-     * were opened before there was anything to tell.
+     * Guards against routers that start together and use twice the processor time of one that starts alone. Each knows
+     * few others at first, assumes a small fleet, and opened streams to all of them before there was anything to
+     * report.
      */
     @Test
     void opensStreamsFromTheFirstPlacementOn() {
         HeartbeatSender sender = sender(200);
         onLoop(() -> {
-            sender.beat(0);
+            sender.sendHeartbeats(0);
             assertThat(sender.takesCallers()).isTrue();
-            assertThat(links.size()).isZero();
-            sender.placed();
-            assertThat(links.size()).isEqualTo(STRONGER);
+            assertThat(streams.size()).isZero();
+            sender.onPlacement();
+            assertThat(streams.size()).isEqualTo(STRONGER_ROUTERS);
         });
     }
 
     @Test
-    void opensNoStreamsWhereItStandsBy() {
+    void opensNoStreamsAsAStandbyRouter() {
         HeartbeatSender sender = sender(10);
         onLoop(() -> {
-            sender.beat(0);
-            sender.placed();
+            sender.sendHeartbeats(0);
+            sender.onPlacement();
             assertThat(sender.takesCallers()).isFalse();
-            assertThat(links.size()).isZero();
+            assertThat(streams.size()).isZero();
         });
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/LimitChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/LimitChannelTest.java
@@ -20,15 +20,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** What two routers tell and ask each other of rate limits, and how much of it. */
+/** Reports of rate limits and permit requests between two routers, and the traffic that they cause. */
 class LimitChannelTest {
 
-    private static final Address ASKER = new Address("10.0.0.1", 1);
-    private static final Address KEEPER = new Address("10.0.0.2", 1);
+    private static final Address REQUESTER = new Address("10.0.0.1", 1);
+    private static final Address ISSUER = new Address("10.0.0.2", 1);
     private static final UpstreamId UPSTREAM = new UpstreamId("upstream", 7);
     private static final int RECEIVERS = 25;
 
-    /** Bytes a second that control may cost a host. */
+    /** Bytes a second that control traffic may cost a host. */
     private static final long CONTROL_BYTES_PER_SECOND = 2_000;
 
     private static final int SECONDS = 600;
@@ -38,21 +38,21 @@
     private long nowMillis = 100_000;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
     private final DecisionLog log = new DecisionLog("own", () -> 0);
-    private final Router asker = new Router("asker");
-    private final Router keeper = new Router("keeper");
+    private final Router requester = new Router("asker");
+    private final Router issuer = new Router("keeper");
 
-    /** A router of two, of which the other one keeps all limits. */
+    /** One of two routers; the router named "keeper" issues all permits. */
     private final class Router implements LimitPeers {
         private final HostId own;
         private final LimitTable table = new LimitTable();
         private final List<NewsFrame> sent = new ArrayList<>();
-        private HostId kept = new HostId("keeper");
-        private NewsFrame.Builder told = NewsFrame.newBuilder();
+        private HostId selectedIssuer = new HostId("keeper");
+        private NewsFrame.Builder reported = NewsFrame.newBuilder();
         private final LimitChannel channel;
 
         Router(String own) {
             this.own = new HostId(own);
-            this.channel = new LimitChannel(loop, table, this, log, () -> told);
+            this.channel = new LimitChannel(loop, table, this, log, () -> reported);
         }
 
         @Override
@@ -62,12 +62,12 @@
 
         @Override
         public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
-            return new PermitIssuerSelector(kept, 1);
+            return new PermitIssuerSelector(selectedIssuer, 1);
         }
 
         @Override
         public Address addressOf(HostId host) {
-            return KEEPER;
+            return ISSUER;
         }
 
         @Override
@@ -76,18 +76,18 @@
         }
 
         @Override
-        public boolean isOver(UpstreamId upstream) {
+        public boolean isSuperseded(UpstreamId upstream) {
             return upstream.incarnation() < UPSTREAM.incarnation();
         }
 
         @Override
         public void openStreams() {
-            // Both are reached without streams.
+            // Both routers are reached without streams.
         }
 
         @Override
-        public void tellStandBy(NewsFrame frame) {
-            // Nobody stands by.
+        public void sendToStandby(NewsFrame frame) {
+            // There are no standby routers.
         }
 
         @Override
@@ -96,8 +96,8 @@
         }
 
         private long takeBytes() {
-            long bytes = (long) told.build().getSerializedSize() * RECEIVERS;
-            told = NewsFrame.newBuilder();
+            long bytes = (long) reported.build().getSerializedSize() * RECEIVERS;
+            reported = NewsFrame.newBuilder();
             bytes += sent.stream().mapToLong(NewsFrame::getSerializedSize).sum();
             sent.clear();
             return bytes;
@@ -114,112 +114,112 @@
         CompletableFuture.runAsync(task, loop::execute).join();
     }
 
-    private RateLimit name(Router router, UpstreamId upstream, double perSecond) {
+    private RateLimit advertise(Router router, UpstreamId upstream, double perSecond) {
         RateLimit limit = new RateLimit(perSecond, nowMillis);
         router.table.reportedByPeer(upstream, limit);
         return limit;
     }
 
-    private List<PermitGrant> ask(RateLimit limit, int wanted) {
+    private List<PermitGrant> request(RateLimit limit, int wanted) {
         List<PermitGrant> answers = new ArrayList<>();
-        onLoop(() -> asker.channel.ask(UPSTREAM, limit, wanted, answers::add));
-        List.copyOf(asker.sent).forEach(frame -> onLoop(() -> keeper.channel.take(frame, ASKER)));
-        asker.sent.clear();
-        List.copyOf(keeper.sent).forEach(frame -> onLoop(() -> asker.channel.take(frame, KEEPER)));
-        keeper.sent.clear();
+        onLoop(() -> requester.channel.ask(UPSTREAM, limit, wanted, answers::add));
+        List.copyOf(requester.sent).forEach(frame -> onLoop(() -> issuer.channel.receive(frame, REQUESTER)));
+        requester.sent.clear();
+        List.copyOf(issuer.sent).forEach(frame -> onLoop(() -> requester.channel.receive(frame, ISSUER)));
+        issuer.sent.clear();
         return answers;
     }
 
     @Test
-    void asksTheKeeperWhichLearnsTheLimitByTheQuestion() {
-        RateLimit limit = name(asker, UPSTREAM, 10);
-        assertThat(ask(limit, 2)).singleElement().satisfies(grant -> assertThat(grant.permits())
+    void requestsPermitsFromTheIssuerWhichLearnsTheLimitFromTheRequest() {
+        RateLimit limit = advertise(requester, UPSTREAM, 10);
+        assertThat(request(limit, 2)).singleElement().satisfies(grant -> assertThat(grant.permits())
                 .isZero());
-        assertThat(keeper.table.find(UPSTREAM).perSecond()).isEqualTo(10);
+        assertThat(issuer.table.find(UPSTREAM).perSecond()).isEqualTo(10);
         nowMillis += 1_500;
-        assertThat(ask(limit, 2)).containsExactly(new PermitGrant(2, 0));
+        assertThat(request(limit, 2)).containsExactly(new PermitGrant(2, 0));
     }
 
     @Test
-    void grantsNothingIfAnotherRouterKeepsTheLimit() {
-        RateLimit limit = name(asker, UPSTREAM, 10);
-        keeper.kept = new HostId("third");
+    void grantsNothingIfAnotherRouterIsThePermitIssuer() {
+        RateLimit limit = advertise(requester, UPSTREAM, 10);
+        issuer.selectedIssuer = new HostId("third");
         nowMillis += 5_000;
-        ask(limit, 1);
+        request(limit, 1);
         nowMillis += 5_000;
-        assertThat(ask(limit, 1)).containsExactly(new PermitGrant(0, 200));
+        assertThat(request(limit, 1)).containsExactly(new PermitGrant(0, 200));
     }
 
     @Test
-    void hearsFromTheKeeperThatTheLimitHasChangedOrEnded() {
-        RateLimit old = name(asker, UPSTREAM, 10);
+    void learnsFromTheIssuerThatTheLimitHasChangedOrEnded() {
+        RateLimit old = advertise(requester, UPSTREAM, 10);
         nowMillis += 10;
-        name(keeper, UPSTREAM, 3);
-        ask(old, 1);
-        assertThat(asker.table.find(UPSTREAM).perSecond()).isEqualTo(3);
+        advertise(issuer, UPSTREAM, 3);
+        request(old, 1);
+        assertThat(requester.table.find(UPSTREAM).perSecond()).isEqualTo(3);
         nowMillis += 10;
-        keeper.table.ended(UPSTREAM, nowMillis);
-        ask(asker.table.find(UPSTREAM), 1);
-        assertThat(asker.table.isEmpty()).isTrue();
+        issuer.table.ended(UPSTREAM, nowMillis);
+        request(requester.table.find(UPSTREAM), 1);
+        assertThat(requester.table.isEmpty()).isTrue();
     }
 
     @Test
-    void takesRequestsWithoutAPermitOffTheNextOnes() {
-        RateLimit limit = name(asker, UPSTREAM, 1);
-        ask(limit, 1);
+    void chargesRequestsWithoutAPermitToLaterPermits() {
+        RateLimit limit = advertise(requester, UPSTREAM, 1);
+        request(limit, 1);
         nowMillis += 10_000;
-        onLoop(() -> asker.channel.charge(UPSTREAM, limit, 3));
-        asker.sent.forEach(frame -> onLoop(() -> keeper.channel.take(frame, ASKER)));
-        asker.sent.clear();
-        assertThat(ask(limit, 1)).singleElement().satisfies(grant -> assertThat(grant.permits())
+        onLoop(() -> requester.channel.charge(UPSTREAM, limit, 3));
+        requester.sent.forEach(frame -> onLoop(() -> issuer.channel.receive(frame, REQUESTER)));
+        requester.sent.clear();
+        assertThat(request(limit, 1)).singleElement().satisfies(grant -> assertThat(grant.permits())
                 .isZero());
     }
 
     @Test
-    void tellsOthersOfABeginAndAnEndAndTakesNoNewsOfAnEarlierStart() {
-        RateLimit limit = name(asker, UPSTREAM, 10);
-        onLoop(() -> asker.channel.limitChanged(UPSTREAM, LimitChange.BEGAN, limit));
-        onLoop(() -> keeper.channel.take(asker.told.build(), null));
-        assertThat(keeper.table.find(UPSTREAM).perSecond()).isEqualTo(10);
-        asker.told = NewsFrame.newBuilder();
+    void reportsStartAndEndAndIgnoresSupersededIncarnations() {
+        RateLimit limit = advertise(requester, UPSTREAM, 10);
+        onLoop(() -> requester.channel.limitChanged(UPSTREAM, LimitChange.BEGAN, limit));
+        onLoop(() -> issuer.channel.receive(requester.reported.build(), null));
+        assertThat(issuer.table.find(UPSTREAM).perSecond()).isEqualTo(10);
+        requester.reported = NewsFrame.newBuilder();
         nowMillis += 100;
-        onLoop(() -> asker.channel.limitChanged(UPSTREAM, LimitChange.ENDED, new RateLimit(10, nowMillis)));
-        onLoop(() -> keeper.channel.take(asker.told.build(), null));
-        assertThat(keeper.table.isEmpty()).isTrue();
+        onLoop(() -> requester.channel.limitChanged(UPSTREAM, LimitChange.ENDED, new RateLimit(10, nowMillis)));
+        onLoop(() -> issuer.channel.receive(requester.reported.build(), null));
+        assertThat(issuer.table.isEmpty()).isTrue();
         UpstreamId earlier = new UpstreamId(UPSTREAM.value(), UPSTREAM.incarnation() - 1);
-        asker.told = NewsFrame.newBuilder();
-        onLoop(() -> asker.channel.limitChanged(earlier, LimitChange.BEGAN, limit));
-        onLoop(() -> keeper.channel.take(asker.told.build(), null));
-        assertThat(keeper.table.isEmpty()).isTrue();
+        requester.reported = NewsFrame.newBuilder();
+        onLoop(() -> requester.channel.limitChanged(earlier, LimitChange.BEGAN, limit));
+        onLoop(() -> issuer.channel.receive(requester.reported.build(), null));
+        assertThat(issuer.table.isEmpty()).isTrue();
     }
 
     @Test
-    void staysBelowWhatControlMayCostThoughAHundredUpstreamsNameNewLimitsWithEachAnswer() {
+    void staysWithinTheControlTrafficBudgetWhileAHundredUpstreamsChangeTheirLimits() {
         long bytes = 0;
         for (int i = 0; i < SECONDS * 200; i++) {
             nowMillis += 5;
             UpstreamId upstream = new UpstreamId("upstream-" + i % 100, 7);
             LimitChange change = CHANGES.get(i / 100 % CHANGES.size());
-            RateLimit limit = name(asker, upstream, 1 + i % 7);
-            onLoop(() -> asker.channel.limitChanged(upstream, change, limit));
-            onLoop(() -> asker.channel.ask(upstream, limit, 1, grant -> {}));
-            bytes += asker.takeBytes();
+            RateLimit limit = advertise(requester, upstream, 1 + i % 7);
+            onLoop(() -> requester.channel.limitChanged(upstream, change, limit));
+            onLoop(() -> requester.channel.ask(upstream, limit, 1, grant -> {}));
+            bytes += requester.takeBytes();
         }
         assertThat(bytes).isLessThan(CONTROL_BYTES_PER_SECOND * SECONDS);
-        assertThat(asker.channel.dropped()).isPositive();
+        assertThat(requester.channel.dropped()).isPositive();
     }
 
     @Test
-    void answersNoMoreThanControlMayCostThoughItKeepsAHundredLimits() {
+    void staysWithinTheControlTrafficBudgetAsIssuerOfAHundredLimits() {
         long bytes = 0;
         for (int i = 0; i < SECONDS * 200; i++) {
             nowMillis += 5;
             UpstreamId upstream = new UpstreamId("upstream-" + i % 100, 7);
-            RateLimit limit = name(asker, upstream, 1 + i % 7);
-            onLoop(() -> asker.channel.ask(upstream, limit, 1, grant -> {}));
-            asker.sent.forEach(frame -> onLoop(() -> keeper.channel.take(frame, ASKER)));
-            asker.sent.clear();
-            bytes += keeper.takeBytes();
+            RateLimit limit = advertise(requester, upstream, 1 + i % 7);
+            onLoop(() -> requester.channel.ask(upstream, limit, 1, grant -> {}));
+            requester.sent.forEach(frame -> onLoop(() -> issuer.channel.receive(frame, REQUESTER)));
+            requester.sent.clear();
+            bytes += issuer.takeBytes();
         }
         assertThat(bytes).isLessThan(CONTROL_BYTES_PER_SECOND * SECONDS);
     }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/OutboundGossipStreamTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/OutboundGossipStreamTest.java
@@ -21,7 +21,7 @@
 
 class OutboundGossipStreamTest {
 
-    /** Longest time that a test waits for a frame, in seconds; it fails then. */
+    /** Timeout for a frame, in seconds. */
     private static final long PATIENCE_SECONDS = 15;
 
     private static final EncodedFrame HEARTBEAT = EncodedFrame.of(NewsFrame.newBuilder()
@@ -29,24 +29,24 @@
             .build());
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
-    private final BlockingQueue<NewsFrame> arrived = new LinkedBlockingQueue<>();
-    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new Arrivals());
-    private final List<Long> open = new ArrayList<>();
-    private final OutboundGossipStream link = new OutboundGossipStream(
-            loop, new Address("127.0.0.1", server.port()), new Arrivals(), this::allNews, () -> {});
+    private final BlockingQueue<NewsFrame> received = new LinkedBlockingQueue<>();
+    private final GossipServer server = new GossipServer(loop, new Address("127.0.0.1", 0), new RecordingHandler());
+    private final List<Long> inFlight = new ArrayList<>();
+    private final OutboundGossipStream stream = new OutboundGossipStream(
+            loop, new Address("127.0.0.1", server.port()), new RecordingHandler(), this::fullState, () -> {});
 
     @AfterEach
     void stop() {
-        onLoop(link::close);
+        onLoop(stream::close);
         server.close();
         loop.close();
     }
 
-    /** Takes what the peer is told. */
-    private final class Arrivals implements GossipHandler {
+    /** Records the frames that the peer receives. */
+    private final class RecordingHandler implements GossipHandler {
         @Override
         public void frame(NewsFrame frame, InboundGossipStream stream) {
-            arrived.add(frame);
+            received.add(frame);
         }
 
         @Override
@@ -56,13 +56,13 @@
 
         @Override
         public void reply(NewsReply reply, String source) {
-            // Answers to heartbeats tell nothing here.
+            // Replies to heartbeats are irrelevant here.
         }
     }
 
-    private NewsFrame allNews() {
+    private NewsFrame fullState() {
         NewsFrame.Builder frame = NewsFrame.newBuilder().setWhole(true);
-        open.forEach(number -> frame.addPlaced(Placed.newBuilder().setNumber(number)));
+        inFlight.forEach(number -> frame.addPlaced(Placed.newBuilder().setNumber(number)));
         return frame.build();
     }
 
@@ -70,56 +70,56 @@
         CompletableFuture.runAsync(task, loop::execute).join();
     }
 
-    private void place(long number) {
-        open.add(number);
-        link.send(EncodedFrame.of(NewsFrame.newBuilder()
+    private void startPlacement(long number) {
+        inFlight.add(number);
+        stream.send(EncodedFrame.of(NewsFrame.newBuilder()
                 .addPlaced(Placed.newBuilder().setNumber(number))
                 .build()));
     }
 
-    private void end(long number) {
-        open.remove(number);
-        link.send(EncodedFrame.of(NewsFrame.newBuilder().addEnded(number).build()));
+    private void endPlacement(long number) {
+        inFlight.remove(number);
+        stream.send(EncodedFrame.of(NewsFrame.newBuilder().addEnded(number).build()));
     }
 
-    private NewsFrame next() throws InterruptedException {
-        NewsFrame frame = arrived.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    private NewsFrame nextFrame() throws InterruptedException {
+        NewsFrame frame = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
         assertThat(frame).as("the next frame").isNotNull();
         return frame;
     }
 
     /**
-     * Symptom: a router that has just started believes engines to be busy for seconds. Sequence: another one opens a
-     * stream to it and writes down what is open; while the connection is being made a placement ends. Cause: its end
-     * was dropped, as the stream was not ready, after the placement had been told.
+     * Guards against a restarted router that counts idle engines as busy for seconds. Another router opens a stream to
+     * it, and a placement ends while the connection is being opened. The end was dropped, as the stream was not ready,
+     * although the placement had been reported.
      */
     @Test
-    void tellsWhatIsOpenWhenTheConnectionStandsAndNotBefore() throws InterruptedException {
+    void sendsTheFullStateOnceConnected() throws InterruptedException {
         onLoop(() -> {
-            place(1);
-            place(2);
-            link.heartbeat(HEARTBEAT, 500);
-            end(1);
+            startPlacement(1);
+            startPlacement(2);
+            stream.heartbeat(HEARTBEAT, 500);
+            endPlacement(1);
         });
-        assertThat(next().hasHeartbeat()).isTrue();
-        NewsFrame whole = next();
+        assertThat(nextFrame().hasHeartbeat()).isTrue();
+        NewsFrame whole = nextFrame();
         assertThat(whole.getWhole()).isTrue();
         assertThat(whole.getPlacedList()).extracting(Placed::getNumber).containsExactly(2L);
     }
 
     @Test
-    void tellsAllThatIsOpenAgainAfterNewsThatWereNotForThePeer() throws InterruptedException {
-        onLoop(() -> link.heartbeat(HEARTBEAT, 500));
-        assertThat(next().hasHeartbeat()).isTrue();
-        assertThat(next().getWhole()).isTrue();
+    void sendsTheFullStateAgainAfterASkippedUpdate() throws InterruptedException {
+        onLoop(() -> stream.heartbeat(HEARTBEAT, 500));
+        assertThat(nextFrame().hasHeartbeat()).isTrue();
+        assertThat(nextFrame().getWhole()).isTrue();
         onLoop(() -> {
-            open.add(7L);
-            link.skip();
-            place(8);
+            inFlight.add(7L);
+            stream.markOutOfSync();
+            startPlacement(8);
         });
-        NewsFrame whole = next();
+        NewsFrame whole = nextFrame();
         assertThat(whole.getWhole()).isTrue();
         assertThat(whole.getPlacedList()).extracting(Placed::getNumber).containsExactly(7L, 8L);
-        assertThat(next().getPlacedList()).extracting(Placed::getNumber).containsExactly(8L);
+        assertThat(nextFrame().getPlacedList()).extracting(Placed::getNumber).containsExactly(8L);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/SuspectChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/SuspectChannelTest.java
@@ -27,7 +27,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** What a router tells of requests under which upstreams end, and how much of it. */
+/** Reports of requests under which upstreams crash, and the traffic that they cause. */
 class SuspectChannelTest {
 
     private static final Address ANY = new Address("127.0.0.1", 0);
@@ -36,35 +36,43 @@
     private static final UpstreamId UPSTREAM = new UpstreamId("upstream", 7);
     private static final RequestDigest REQUEST = new RequestDigest(1, 2);
 
-    /** Other routers that are told, as in a fleet of 95 of which a quarter decide on requests. */
+    /** Number of other active routers, as in a fleet of 95 of which a quarter are active. */
     private static final int RECEIVERS = 25;
 
-    /** Bytes a second that control may cost a host. */
+    /** Bytes a second that control traffic may cost a host. */
     private static final long CONTROL_BYTES_PER_SECOND = 2_000;
 
     private static final long ATTACK_MILLIS = 600_000;
 
     /** Time between two requests of an attacker, in milliseconds: 10,000 a minute. */
-    private static final long ATTACK_GAP_MILLIS = 6;
+    private static final long ATTACK_INTERVAL_MILLIS = 6;
 
     private long nowMillis;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
     private final DecisionLog log = new DecisionLog("own", () -> 0);
-    private final SuspectTable table = new SuspectTable(OWN, found -> {});
+    private final SuspectTable table = new SuspectTable(OWN, suspect -> {});
     private final HeartbeatPort port = new HeartbeatPort(loop, ANY);
-    private NewsFrame.Builder told = NewsFrame.newBuilder();
-    private final SuspectChannel channel = new SuspectChannel(loop, table, log, () -> told, () -> RECEIVERS);
+    private NewsFrame.Builder reported = NewsFrame.newBuilder();
+    private final SuspectChannel channel = new SuspectChannel(loop, table, log, () -> reported, () -> RECEIVERS);
 
     @BeforeEach
     void connect() {
         PeerTable peers = new PeerTable();
-        OutboundGossipStreams links = new OutboundGossipStreams(loop, peers, NewsFrame::getDefaultInstance);
+        OutboundGossipStreams streams = new OutboundGossipStreams(loop, peers, NewsFrame::getDefaultInstance);
         PublishedState state =
                 new PublishedState(null, new UpstreamTable(), new OutlierDetector(), new EngineLoadTable(), log);
         RouterIdentity identity = new RouterIdentity(OWN, new DataCentreId("east"), port.address(), port.address(), 1);
         OwnHeartbeat own = new OwnHeartbeat(loop, identity, peers, state, () -> true, new RequestRate(0), () -> true);
-        channel.tellThrough(new HeartbeatSender(
-                new Nobody(), own, peers, links, port, new StartPhase(0), port.address(), () -> 1_000, () -> false));
+        channel.sendThrough(new HeartbeatSender(
+                new UnusedHandler(),
+                own,
+                peers,
+                streams,
+                port,
+                new StartPhase(0),
+                port.address(),
+                () -> 1_000,
+                () -> false));
     }
 
     @AfterEach
@@ -74,8 +82,8 @@
         log.close();
     }
 
-    /** Takes nothing, as nobody sends here. */
-    private static final class Nobody implements GossipHandler {
+    /** Fails on any message, as nobody sends one to this router. */
+    private static final class UnusedHandler implements GossipHandler {
         @Override
         public void frame(NewsFrame frame, InboundGossipStream stream) {
             throw new AssertionError("Nobody sends here.");
@@ -96,29 +104,29 @@
         CompletableFuture.runAsync(task, loop::execute).join();
     }
 
-    private long takeTold() {
-        long bytes = (long) told.build().getSerializedSize() * RECEIVERS;
-        told = NewsFrame.newBuilder();
+    private long takeReported() {
+        long bytes = (long) reported.build().getSerializedSize() * RECEIVERS;
+        reported = NewsFrame.newBuilder();
         return bytes;
     }
 
     @Test
-    void isUnderstoodByAnother() {
+    void reportsCrashesToAnotherRouter() {
         onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(new RequestDigest(3, 4)), false));
-        onLoop(() -> channel.take(told.build(), PEER));
+        onLoop(() -> channel.receive(reported.build(), PEER));
         assertThat(table.find(REQUEST, 0).crashes())
                 .singleElement()
-                .satisfies(one -> assertThat(one.upstream()).isEqualTo(UPSTREAM))
-                .satisfies(one -> assertThat(one.answerStarted()).isFalse());
+                .satisfies(crash -> assertThat(crash.upstream()).isEqualTo(UPSTREAM))
+                .satisfies(crash -> assertThat(crash.answerStarted()).isFalse());
         assertThat(table.find(new RequestDigest(3, 4), 0).crashes().get(0).answerStarted())
                 .isTrue();
-        assertThat(channel.heard()).isEqualTo(2);
+        assertThat(channel.received()).isEqualTo(2);
     }
 
     @Test
-    void tellsARouterThatMissedItHowLongAgoAnUpstreamEnded() {
+    void reportsTheAgeOfACrashToARouterThatMissedIt() {
         onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(), false));
-        onLoop(() -> channel.take(told.build(), PEER));
+        onLoop(() -> channel.receive(reported.build(), PEER));
         nowMillis = 90_000;
         NewsFrame.Builder all = NewsFrame.newBuilder();
         onLoop(() -> channel.addAll(all));
@@ -126,26 +134,27 @@
     }
 
     /**
-     * Symptom: news between routers take more than their share of the network, and what matters is late. Sequence: an
-     * attacker sends 10,000 different requests a minute, each of which ends an upstream. Cause: each was told to all.
+     * Guards against state updates that exceed their share of the network and delay what matters. An attacker sends
+     * 10,000 different requests a minute, each of which crashes an upstream, and each crash was reported to all
+     * routers.
      */
     @Test
-    void staysBelowWhatControlMayCostThoughAnyNumberOfRequestsEndUpstreams() {
+    void staysWithinTheControlTrafficBudgetUnderManyCrashes() {
         long bytes = 0;
-        long ends = ATTACK_MILLIS / ATTACK_GAP_MILLIS;
-        for (int i = 0; i < ends; i++) {
-            nowMillis += ATTACK_GAP_MILLIS;
+        long crashes = ATTACK_MILLIS / ATTACK_INTERVAL_MILLIS;
+        for (int i = 0; i < crashes; i++) {
+            nowMillis += ATTACK_INTERVAL_MILLIS;
             RequestDigest request = new RequestDigest(i, i);
             UpstreamId upstream = new UpstreamId("upstream-" + i);
             onLoop(() -> channel.upstreamCrashed(upstream, List.of(request), List.of(), false));
             onLoop(() -> channel.trialStarted(request, upstream, 1_000));
             onLoop(() -> channel.trialEnded(request));
-            bytes += takeTold();
+            bytes += takeReported();
         }
         assertThat(bytes).isLessThan(CONTROL_BYTES_PER_SECOND * ATTACK_MILLIS / 1_000);
-        assertThat(channel.dropped()).isGreaterThan(2 * ends);
+        assertThat(channel.dropped()).isGreaterThan(2 * crashes);
         onLoop(() -> channel.upstreamCrashed(UPSTREAM, List.of(REQUEST), List.of(), true));
-        assertThat(told.getUpstreamEndedCount())
+        assertThat(reported.getUpstreamEndedCount())
                 .as("a repeated end has an allowance of its own")
                 .isEqualTo(1);
     }
