--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/ServingRouter.java
@@ -232,12 +232,12 @@
     }
 
     /** Logs that a request was found to be the cause of upstream crashes. */
-    private void causeFound(SuspectedRequest suspicion) {
+    private void causeFound(SuspectedRequest suspect) {
         log.line("cause_found")
-                .put("content", suspicion.request().toString())
-                .put("ends", suspicion.crashes().size())
-                .put("upstreams", suspicion.upstreams())
-                .put("since_millis", loop.nowMillis() - suspicion.sinceMillis())
+                .put("content", suspect.request().toString())
+                .put("ends", suspect.crashes().size())
+                .put("upstreams", suspect.upstreams())
+                .put("since_millis", loop.nowMillis() - suspect.sinceMillis())
                 .put("refused_millis", SuspectTable.REFUSED_MILLIS)
                 .write();
     }
