--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/CauseFinder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/CauseFinder.java
@@ -25,36 +25,38 @@
 final class CauseFinder {
 
     /** Ends that make a request the cause: one may be chance and two bad luck; each more costs another upstream. */
-    static final int ENDS_OF_A_CAUSE = 3;
+    static final int MIN_CRASHES_OF_CAUSE = 3;
 
     /**
      * Ends that make a request the cause though some of its answer had come, or other upstreams ended at the same
      * moment: a request may end its upstream late, and an attacker may hide it among many others that do. One that was
      * only there seldom meets so many, as its callers give up before.
      */
-    static final int ENDS_OF_A_HIDDEN_CAUSE = 6;
+    static final int MIN_CRASHES_OF_HIDDEN_CAUSE = 6;
 
     private final Collection<Suspect> suspects;
-    private final UpstreamEnds ends;
+    private final UpstreamCrashes upstreamCrashes;
 
     /** Creates a finder that looks at all suspects. */
-    CauseFinder(Collection<Suspect> suspects, UpstreamEnds ends) {
+    CauseFinder(Collection<Suspect> suspects, UpstreamCrashes upstreamCrashes) {
         this.suspects = suspects;
-        this.ends = ends;
+        this.upstreamCrashes = upstreamCrashes;
     }
 
     /** Returns the ends that count against a request before it had got any of its answer. */
-    Set<UpstreamId> against(Suspect suspect) {
-        return unexplained(suspect, false);
+    Set<UpstreamId> countedCrashes(Suspect suspect) {
+        return unexplainedCrashes(suspect, false);
     }
 
     /** Returns the ends of which no other request is the cause; of these all, or those that count against it. */
-    private Set<UpstreamId> unexplained(Suspect suspect, boolean all) {
+    private Set<UpstreamId> unexplainedCrashes(Suspect suspect, boolean all) {
         Set<UpstreamId> left = new HashSet<>();
-        for (Map.Entry<UpstreamId, Ending> one : suspect.crashes().entrySet()) {
+        for (Map.Entry<UpstreamId, Crash> one : suspect.crashes().entrySet()) {
             UpstreamId upstream = one.getKey();
-            boolean counts = all || !one.getValue().begun() && !ends.lostWithOthers(upstream, suspect.request());
-            if (counts && !isExplained(upstream, suspect)) {
+            boolean counts = all
+                    || !one.getValue().answerStarted()
+                            && !upstreamCrashes.crashedWithOthers(upstream, suspect.request());
+            if (counts && !hasOtherCause(upstream, suspect)) {
                 left.add(upstream);
             }
         }
@@ -62,7 +64,7 @@
     }
 
     /** Tells whether another request is known to have ended an upstream. */
-    private boolean isExplained(UpstreamId upstream, Suspect suspect) {
+    private boolean hasOtherCause(UpstreamId upstream, Suspect suspect) {
         for (Suspect other : suspects) {
             if (other != suspect && other.isCause() && other.crashes().containsKey(upstream)) {
                 return true;
@@ -73,17 +75,18 @@
 
     /** Tells whether so many ends count against a request that it or one that shares them is the cause. */
     boolean mayBeCause(Suspect suspect) {
-        return suspect.crashes().size() >= ENDS_OF_A_CAUSE && !counting(suspect).isEmpty();
+        return suspect.crashes().size() >= MIN_CRASHES_OF_CAUSE
+                && !decisiveCrashes(suspect).isEmpty();
     }
 
     /** Returns the ends that would make a request the cause; none if they are too few. */
-    private Set<UpstreamId> counting(Suspect suspect) {
-        Set<UpstreamId> early = unexplained(suspect, false);
-        if (early.size() >= ENDS_OF_A_CAUSE) {
+    private Set<UpstreamId> decisiveCrashes(Suspect suspect) {
+        Set<UpstreamId> early = unexplainedCrashes(suspect, false);
+        if (early.size() >= MIN_CRASHES_OF_CAUSE) {
             return early;
         }
-        Set<UpstreamId> all = unexplained(suspect, true);
-        return all.size() >= ENDS_OF_A_HIDDEN_CAUSE ? all : Set.of();
+        Set<UpstreamId> all = unexplainedCrashes(suspect, true);
+        return all.size() >= MIN_CRASHES_OF_HIDDEN_CAUSE ? all : Set.of();
     }
 
     /**
@@ -92,18 +95,18 @@
      * @return the request itself, another one that explains more, or {@code null} if two share all their ends
      */
     Suspect causeOf(Suspect suspect) {
-        Set<UpstreamId> mine = counting(suspect);
+        Set<UpstreamId> ownCrashes = decisiveCrashes(suspect);
         Suspect best = suspect;
-        Set<UpstreamId> most = mine;
+        Set<UpstreamId> largest = ownCrashes;
         boolean shared = false;
         for (Suspect other : suspects) {
             boolean canExplain =
-                    other != suspect && !other.isCause() && other.crashes().size() >= most.size();
-            Set<UpstreamId> theirs = canExplain ? counting(other) : Set.of();
-            if (canExplain && theirs.size() >= most.size() && theirs.containsAll(mine)) {
-                shared = theirs.size() == most.size();
+                    other != suspect && !other.isCause() && other.crashes().size() >= largest.size();
+            Set<UpstreamId> otherCrashes = canExplain ? decisiveCrashes(other) : Set.of();
+            if (canExplain && otherCrashes.size() >= largest.size() && otherCrashes.containsAll(ownCrashes)) {
+                shared = otherCrashes.size() == largest.size();
                 best = other;
-                most = theirs;
+                largest = otherCrashes;
             }
         }
         return shared ? null : best;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Ending.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Crash.java
@@ -5,6 +5,6 @@
  *
  * @param begun whether the upstream had sent some of the answer, so that it had run the request for a while and lived
  * @param atMillis when it ended, as far as is known here
- * @param heardMillis when this router heard of it
+ * @param learnedMillis when this router heard of it
  */
-record Ending(boolean begun, long atMillis, long heardMillis) {}
+record Crash(boolean answerStarted, long atMillis, long learnedMillis) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/RequestDigest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/RequestDigest.java
@@ -23,7 +23,7 @@
 public record RequestDigest(long head, long body) {
 
     /** Makes keys of 128 bits from accounts, whose names are no secret. */
-    private static final HashFunction KEYS = Hashing.murmur3_128(0xacc7);
+    private static final HashFunction KEY_FUNCTION = Hashing.murmur3_128(0xacc7);
 
     private static final int HEXADECIMAL_DIGITS = 16;
 
@@ -38,7 +38,7 @@
      * @return the hash
      */
     public static long hashHead(String method, String host, String target, ClientAccountId account, long bodyBytes) {
-        Hasher hasher = keyedBy(account).newHasher();
+        Hasher hasher = hashFunctionOf(account).newHasher();
         for (String part : List.of(method, host, target)) {
             hasher.putInt(part.length()).putUnencodedChars(part);
         }
@@ -53,7 +53,7 @@
      * @return the hash
      */
     public static long hashBody(ByteBuffer[] pieces, ClientAccountId account) {
-        Hasher hasher = keyedBy(account).newHasher();
+        Hasher hasher = hashFunctionOf(account).newHasher();
         for (ByteBuffer piece : pieces) {
             hasher.putBytes(piece);
         }
@@ -61,21 +61,21 @@
     }
 
     /** Returns the hash function of an account. */
-    private static HashFunction keyedBy(ClientAccountId account) {
-        HashCode key = KEYS.hashString(account == null ? "" : account.value(), StandardCharsets.UTF_8);
-        ByteBuffer words = ByteBuffer.wrap(key.asBytes());
-        return Hashing.sipHash24(words.getLong(), words.getLong());
+    private static HashFunction hashFunctionOf(ClientAccountId account) {
+        HashCode key = KEY_FUNCTION.hashString(account == null ? "" : account.value(), StandardCharsets.UTF_8);
+        ByteBuffer keyBytes = ByteBuffer.wrap(key.asBytes());
+        return Hashing.sipHash24(keyBytes.getLong(), keyBytes.getLong());
     }
 
     /** Writes both hashes in hexadecimal, as logs show them. */
     @Override
     public String toString() {
-        return digits(head) + digits(body);
+        return hexadecimal(head) + hexadecimal(body);
     }
 
     /** Writes a hash with leading zeros. */
-    private static String digits(long hash) {
-        String digits = Long.toHexString(hash);
-        return "0".repeat(HEXADECIMAL_DIGITS - digits.length()) + digits;
+    private static String hexadecimal(long hash) {
+        String hexadecimal = Long.toHexString(hash);
+        return "0".repeat(HEXADECIMAL_DIGITS - hexadecimal.length()) + hexadecimal;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Suspect.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Suspect.java
@@ -11,20 +11,20 @@
 final class Suspect {
 
     private final RequestDigest request;
-    private final Map<UpstreamId, Ending> crashes = new LinkedHashMap<>();
+    private final Map<UpstreamId, Crash> crashes = new LinkedHashMap<>();
     private final Map<ProcessId, Trial> trials = new HashMap<>();
     private final long sinceMillis;
-    private long lastMillis;
-    private long heardMillis;
+    private long lastCrashMillis;
+    private long learnedMillis;
     private boolean cause;
-    private ProcessId lastTriedBy;
-    private long freeMillis = Long.MIN_VALUE / 2;
+    private ProcessId lastTrialRouter;
+    private long lastTrialEndMillis = Long.MIN_VALUE / 2;
 
     /** Creates a suspect under which nothing has ended yet. */
     Suspect(RequestDigest request, long sinceMillis) {
         this.request = request;
         this.sinceMillis = sinceMillis;
-        this.lastMillis = sinceMillis;
+        this.lastCrashMillis = sinceMillis;
     }
 
     /** Returns what tells the request apart. */
@@ -33,21 +33,21 @@
     }
 
     /** Returns the ends of upstreams under it, in the order in which they were heard of. */
-    Map<UpstreamId, Ending> crashes() {
+    Map<UpstreamId, Crash> crashes() {
         return crashes;
     }
 
     /** Notes the end of an upstream under it; tells whether it was not known. */
-    boolean ended(UpstreamId upstream, Ending ending) {
-        Ending before = crashes.get(upstream);
-        boolean begun = ending.begun() || before != null && before.begun();
-        if (before != null) {
-            crashes.put(upstream, new Ending(begun, before.atMillis(), before.heardMillis()));
+    boolean recordCrash(UpstreamId upstream, Crash crash) {
+        Crash known = crashes.get(upstream);
+        boolean answerStarted = crash.answerStarted() || known != null && known.answerStarted();
+        if (known != null) {
+            crashes.put(upstream, new Crash(answerStarted, known.atMillis(), known.learnedMillis()));
             return false;
         }
-        crashes.put(upstream, ending);
-        lastMillis = Math.max(lastMillis, ending.atMillis());
-        heardMillis = Math.max(heardMillis, ending.heardMillis());
+        crashes.put(upstream, crash);
+        lastCrashMillis = Math.max(lastCrashMillis, crash.atMillis());
+        learnedMillis = Math.max(learnedMillis, crash.learnedMillis());
         return true;
     }
 
@@ -57,13 +57,13 @@
     }
 
     /** Returns when the last upstream ended under it. */
-    long lastMillis() {
-        return lastMillis;
+    long lastCrashMillis() {
+        return lastCrashMillis;
     }
 
     /** Returns when the last end was heard of. */
-    long heardMillis() {
-        return heardMillis;
+    long learnedMillis() {
+        return learnedMillis;
     }
 
     /** Tells whether it was found to be the cause of its upstreams' ends. */
@@ -84,14 +84,14 @@
     /** Notes that the send of a router is over, for whatever reason; others may follow. */
     void trialEnded(ProcessId router, long nowMillis) {
         if (trials.remove(router) != null) {
-            tried(router, nowMillis);
+            recordTrialEnd(router, nowMillis);
         }
     }
 
     /** Notes that a router had it at an upstream until now. */
-    void tried(ProcessId router, long nowMillis) {
-        lastTriedBy = router;
-        freeMillis = nowMillis;
+    void recordTrialEnd(ProcessId router, long nowMillis) {
+        lastTrialRouter = router;
+        lastTrialEndMillis = nowMillis;
     }
 
     /** Returns the sends that may still end their upstreams. */
@@ -101,12 +101,12 @@
     }
 
     /** Returns when the last send was over. */
-    long freeMillis() {
-        return freeMillis;
+    long lastTrialEndMillis() {
+        return lastTrialEndMillis;
     }
 
     /** Returns the router whose send was over last, or {@code null}. */
-    ProcessId lastTriedBy() {
-        return lastTriedBy;
+    ProcessId lastTrialRouter() {
+        return lastTrialRouter;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectTable.java
@@ -30,10 +30,10 @@
     public static final long REFUSED_MILLIS = 30 * 60_000;
 
     /** Time after the last end at which a request is forgotten, in milliseconds. */
-    public static final long FORGOTTEN_MILLIS = 2 * REFUSED_MILLIS;
+    public static final long RETENTION_MILLIS = 2 * REFUSED_MILLIS;
 
     /** Requests that are remembered: an attacker may send any number, and each takes about a kilobyte. */
-    public static final int MOST_SUSPECTS = 1_000;
+    public static final int MAX_SUSPECTS = 1_000;
 
     /**
      * Time for which a cause is not named after the last end, in milliseconds: what else was in flight there is told
@@ -45,25 +45,25 @@
     static final long RECHECK_MILLIS = 20;
 
     /** Moments after a trial over which routers that hold the same request are spread, so that one goes first. */
-    private static final int TURNS = 8;
+    private static final int TRIAL_SLOTS = 8;
 
     private final ProcessId own;
-    private final Consumer<SuspectedRequest> whenFound;
+    private final Consumer<SuspectedRequest> onCauseFound;
     private final Map<RequestDigest, Suspect> suspects = new HashMap<>();
-    private final Map<Long, Integer> heads = new HashMap<>();
-    private final UpstreamEnds ends = new UpstreamEnds();
-    private final CauseFinder finder = new CauseFinder(suspects.values(), ends);
+    private final Map<Long, Integer> headCounts = new HashMap<>();
+    private final UpstreamCrashes upstreamCrashes = new UpstreamCrashes();
+    private final CauseFinder causeFinder = new CauseFinder(suspects.values(), upstreamCrashes);
     private long dropped;
 
     /**
      * Creates a table without suspects.
      *
      * @param own this router process
-     * @param whenFound takes each request that is found to be the cause
+     * @param onCauseFound takes each request that is found to be the cause
      */
-    public SuspectTable(ProcessId own, Consumer<SuspectedRequest> whenFound) {
+    public SuspectTable(ProcessId own, Consumer<SuspectedRequest> onCauseFound) {
         this.own = own;
-        this.whenFound = whenFound;
+        this.onCauseFound = onCauseFound;
     }
 
     /**
@@ -73,7 +73,7 @@
      * @return {@code false} if it is none
      */
     public boolean mayContain(long head) {
-        return heads.containsKey(head);
+        return headCounts.containsKey(head);
     }
 
     /**
@@ -94,36 +94,36 @@
      * @param nowMillis the time
      * @return whether this was not known
      */
-    public boolean upstreamCrashed(RequestDigest request, ObservedCrash end, ProcessId seenBy, long nowMillis) {
-        long atMillis = end.atMillis();
-        if (nowMillis - atMillis >= FORGOTTEN_MILLIS) {
+    public boolean upstreamCrashed(RequestDigest request, ObservedCrash crash, ProcessId seenBy, long nowMillis) {
+        long atMillis = crash.atMillis();
+        if (nowMillis - atMillis >= RETENTION_MILLIS) {
             return false;
         }
         Suspect suspect = suspects.get(request);
         if (suspect == null) {
-            makeRoom();
+            evictLeastSuspected();
             suspect = new Suspect(request, atMillis);
             suspects.put(request, suspect);
-            heads.merge(request.head(), 1, Integer::sum);
+            headCounts.merge(request.head(), 1, Integer::sum);
         }
-        ends.ended(end.upstream(), request, atMillis);
-        boolean isNew = suspect.ended(end.upstream(), new Ending(end.answerStarted(), atMillis, nowMillis));
+        upstreamCrashes.record(crash.upstream(), request, atMillis);
+        boolean isNew = suspect.recordCrash(crash.upstream(), new Crash(crash.answerStarted(), atMillis, nowMillis));
         if (isNew && seenBy != null) {
-            suspect.tried(seenBy, nowMillis);
+            suspect.recordTrialEnd(seenBy, nowMillis);
         }
         return isNew;
     }
 
     /** Forgets the request with the fewest ends, of these the one whose last is longest ago. */
-    private void makeRoom() {
-        if (suspects.size() < MOST_SUSPECTS) {
+    private void evictLeastSuspected() {
+        if (suspects.size() < MAX_SUSPECTS) {
             return;
         }
-        Suspect least = suspects.values().stream()
+        Suspect leastSuspected = suspects.values().stream()
                 .min(Comparator.<Suspect>comparingInt(one -> one.crashes().size())
-                        .thenComparingLong(Suspect::lastMillis))
+                        .thenComparingLong(Suspect::lastCrashMillis))
                 .orElseThrow();
-        forget(least.request());
+        forget(leastSuspected.request());
         dropped++;
     }
 
@@ -141,7 +141,7 @@
     private boolean forget(RequestDigest request) {
         boolean known = suspects.remove(request) != null;
         if (known) {
-            heads.computeIfPresent(request.head(), (head, count) -> count > 1 ? count - 1 : null);
+            headCounts.computeIfPresent(request.head(), (head, count) -> count > 1 ? count - 1 : null);
         }
         return known;
     }
@@ -161,32 +161,32 @@
         if (isRefused(request, nowMillis)) {
             return SuspectDecision.REFUSE;
         }
-        int against = finder.against(suspect).size();
-        if (against == 0 && !suspect.isCause()) {
+        int countedCrashes = causeFinder.countedCrashes(suspect).size();
+        if (countedCrashes == 0 && !suspect.isCause()) {
             return SuspectDecision.SEND;
         }
-        long settled = suspect.heardMillis() + SETTLE_MILLIS;
-        if (finder.mayBeCause(suspect) && nowMillis < settled) {
-            return SuspectDecision.settle(settled - nowMillis);
+        long settledMillis = suspect.learnedMillis() + SETTLE_MILLIS;
+        if (causeFinder.mayBeCause(suspect) && nowMillis < settledMillis) {
+            return SuspectDecision.settle(settledMillis - nowMillis);
         }
-        if (!suspect.trials(nowMillis).isEmpty() || nowMillis < turnMillis(suspect)) {
+        if (!suspect.trials(nowMillis).isEmpty() || nowMillis < earliestTrialMillis(suspect)) {
             return SuspectDecision.hold(RECHECK_MILLIS);
         }
-        boolean nextEndDecides = against >= CauseFinder.ENDS_OF_A_CAUSE - 1;
-        return SuspectDecision.attempt(nextEndDecides ? triedElsewhere(suspect, nowMillis) : Set.of());
+        boolean nextCrashDecides = countedCrashes >= CauseFinder.MIN_CRASHES_OF_CAUSE - 1;
+        return SuspectDecision.attempt(nextCrashDecides ? upstreamsOfOtherTrials(suspect, nowMillis) : Set.of());
     }
 
     /** Returns when this router may try a request after another one did. */
-    private long turnMillis(Suspect suspect) {
-        if (suspect.lastTriedBy() == null || suspect.lastTriedBy().equals(own)) {
+    private long earliestTrialMillis(Suspect suspect) {
+        if (suspect.lastTrialRouter() == null || suspect.lastTrialRouter().equals(own)) {
             return Long.MIN_VALUE;
         }
-        int turn = Math.floorMod(own.hashCode() * 31 + suspect.request().hashCode(), TURNS);
-        return suspect.freeMillis() + RECHECK_MILLIS * (1 + turn);
+        int slot = Math.floorMod(own.hashCode() * 31 + suspect.request().hashCode(), TRIAL_SLOTS);
+        return suspect.lastTrialEndMillis() + RECHECK_MILLIS * (1 + slot);
     }
 
     /** Returns the upstreams at which other suspected requests are tried. */
-    private Set<UpstreamId> triedElsewhere(Suspect suspect, long nowMillis) {
+    private Set<UpstreamId> upstreamsOfOtherTrials(Suspect suspect, long nowMillis) {
         Set<UpstreamId> upstreams = new HashSet<>();
         for (Suspect other : suspects.values()) {
             if (other != suspect) {
@@ -208,21 +208,21 @@
         if (suspect == null) {
             return false;
         }
-        if (!suspect.isCause() && nowMillis - suspect.heardMillis() >= SETTLE_MILLIS) {
-            findCause(suspect, nowMillis);
+        if (!suspect.isCause() && nowMillis - suspect.learnedMillis() >= SETTLE_MILLIS) {
+            identifyCauses(suspect, nowMillis);
         }
-        return suspect.isCause() && nowMillis - suspect.lastMillis() < REFUSED_MILLIS;
+        return suspect.isCause() && nowMillis - suspect.lastCrashMillis() < REFUSED_MILLIS;
     }
 
     /** Names the causes of the ends under a request, those that explain most of them first. */
-    private void findCause(Suspect suspect, long nowMillis) {
-        while (!suspect.isCause() && finder.mayBeCause(suspect)) {
-            Suspect found = finder.causeOf(suspect);
+    private void identifyCauses(Suspect suspect, long nowMillis) {
+        while (!suspect.isCause() && causeFinder.mayBeCause(suspect)) {
+            Suspect found = causeFinder.causeOf(suspect);
             if (found == null) {
                 return;
             }
             found.markCause();
-            whenFound.accept(suspicion(found, nowMillis));
+            onCauseFound.accept(describe(found, nowMillis));
         }
     }
 
@@ -234,7 +234,8 @@
      */
     public boolean isSuspected(RequestDigest request) {
         Suspect suspect = suspects.get(request);
-        return suspect != null && (suspect.isCause() || !finder.against(suspect).isEmpty());
+        return suspect != null
+                && (suspect.isCause() || !causeFinder.countedCrashes(suspect).isEmpty());
     }
 
     /**
@@ -245,7 +246,7 @@
      */
     public boolean mayBeCause(RequestDigest request) {
         Suspect suspect = suspects.get(request);
-        return suspect != null && !suspect.isCause() && finder.mayBeCause(suspect);
+        return suspect != null && !suspect.isCause() && causeFinder.mayBeCause(suspect);
     }
 
     /**
@@ -293,13 +294,13 @@
      * @param nowMillis the time
      */
     public void expire(long nowMillis) {
-        List<RequestDigest> over = new ArrayList<>();
+        List<RequestDigest> expired = new ArrayList<>();
         for (Suspect suspect : suspects.values()) {
-            if (nowMillis - suspect.lastMillis() >= FORGOTTEN_MILLIS) {
-                over.add(suspect.request());
+            if (nowMillis - suspect.lastCrashMillis() >= RETENTION_MILLIS) {
+                expired.add(suspect.request());
             }
         }
-        over.forEach(this::forget);
+        expired.forEach(this::forget);
     }
 
     /**
@@ -309,13 +310,13 @@
      * @param nowMillis the time
      * @return what is known of them
      */
-    public List<SuspectedRequest> list(int most, long nowMillis) {
+    public List<SuspectedRequest> list(int maxCount, long nowMillis) {
         return suspects.values().stream()
                 .sorted(Comparator.<Suspect>comparingInt(one -> -one.crashes().size())
-                        .thenComparing(
-                                Comparator.comparingLong(Suspect::lastMillis).reversed()))
-                .limit(most)
-                .map(suspect -> suspicion(suspect, nowMillis))
+                        .thenComparing(Comparator.comparingLong(Suspect::lastCrashMillis)
+                                .reversed()))
+                .limit(maxCount)
+                .map(suspect -> describe(suspect, nowMillis))
                 .toList();
     }
 
@@ -328,15 +329,15 @@
      */
     public SuspectedRequest find(RequestDigest request, long nowMillis) {
         Suspect suspect = suspects.get(request);
-        return suspect == null ? null : suspicion(suspect, nowMillis);
+        return suspect == null ? null : describe(suspect, nowMillis);
     }
 
     /** Shows a suspect as it is now. */
-    private static SuspectedRequest suspicion(Suspect suspect, long nowMillis) {
+    private static SuspectedRequest describe(Suspect suspect, long nowMillis) {
         List<SuspectedRequest.ReportedCrash> crashes = new ArrayList<>();
         suspect.crashes()
-                .forEach((upstream, ending) -> crashes.add(new SuspectedRequest.ReportedCrash(
-                        upstream, ending.begun(), Math.max(0, nowMillis - ending.atMillis()))));
+                .forEach((upstream, crash) -> crashes.add(new SuspectedRequest.ReportedCrash(
+                        upstream, crash.answerStarted(), Math.max(0, nowMillis - crash.atMillis()))));
         return new SuspectedRequest(suspect.request(), crashes, suspect.sinceMillis(), suspect.isCause());
     }
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectedRequest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectedRequest.java
@@ -35,6 +35,6 @@
      * @return the starts that ended, with commas between
      */
     public String upstreams() {
-        return crashes.stream().map(told -> told.upstream().toString()).collect(Collectors.joining(","));
+        return crashes.stream().map(crash -> crash.upstream().toString()).collect(Collectors.joining(","));
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/RequestDigestTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/RequestDigestTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void isTheSameForARepeatThatComesInOtherPieces() {
+    void isEqualForARepeatSplitIntoOtherBuffers() {
         ClientAccountId account = new ClientAccountId("account-1");
         ByteBuffer[] pieces = {bytes("pro"), bytes(""), bytes("mpt")};
         assertThat(RequestDigest.hashBody(pieces, account)).isEqualTo(KNOWN.body());
@@ -44,25 +44,25 @@
         "POST, a.example, /prompts/1, , prompt",
         "POST, a.example, /prompts/1, account-1, prompts"
     })
-    void isAnotherOneIfAnythingBeforeTheBytesOfTheBodyDiffers(
+    void differsInHeadIfAnythingButTheBodyBytesDiffers(
             String method, String host, String target, String account, String body) {
         assertThat(digest(method, host, target, account, body).head()).isNotEqualTo(KNOWN.head());
     }
 
     @Test
-    void isAnotherOneIfOnlyTheBodyDiffers() {
+    void differsInBodyIfOnlyTheBodyDiffers() {
         RequestDigest other = digest("POST", "a.example", "/prompts/1", "account-1", "tpmorp");
         assertThat(other.head()).isEqualTo(KNOWN.head());
         assertThat(other.body()).isNotEqualTo(KNOWN.body());
     }
 
     @Test
-    void showsNeitherAccountNorBody() {
+    void containsNeitherAccountNorBody() {
         assertThat(KNOWN.toString()).matches("[0-9a-f]{32}").doesNotContain("account", "prompt");
     }
 
     @Test
-    void isWrittenWithLeadingZeros() {
+    void isFormattedWithLeadingZeros() {
         assertThat(new RequestDigest(1, 0xab)).hasToString("0".repeat(15) + "1" + "0".repeat(14) + "ab");
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScenario.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScenario.java
@@ -4,14 +4,19 @@
  * What a seeded fleet is put through.
  *
  * @param routers how many routers take callers
- * @param gapMillis time between two repeats, in milliseconds
+ * @param repeatIntervalMillis time between two repeats, in milliseconds
  * @param spread to which routers the repeats come
- * @param newsMillis longest time that news take, in milliseconds
+ * @param gossipMillis longest time that news take, in milliseconds
  * @param lostShare share of news that are lost until the next catch-up
  * @param faults what happens to routers meanwhile
  */
 record SuspectScenario(
-        int routers, long gapMillis, Spread spread, long newsMillis, double lostShare, RouterFaults faults) {
+        int routers,
+        long repeatIntervalMillis,
+        Spread spread,
+        long gossipMillis,
+        double lostShare,
+        RouterFaults faults) {
 
     /** To which routers the repeats of a request come. */
     enum Spread {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScheduleTest.java
@@ -14,16 +14,16 @@
 class SuspectScheduleTest {
 
     private static final int SEEDS = 4;
-    private static final long NEWS_MILLIS = 10;
+    private static final long GOSSIP_MILLIS = 10;
 
     /** Ends that have to be known before a request can be told to be the cause. */
-    private static final int KNOWN_AFTER = 3;
+    private static final int CRASHES_TO_IDENTIFY = 3;
 
     /** Sends after the third end that the users bear, as news take their time. */
-    private static final int BORNE = 3;
+    private static final int TOLERATED_SENDS = 3;
 
     /** Time in which news of the third end reach all routers that can be reached, and a cause is named. */
-    private static final long KNOWN_MILLIS = 100;
+    private static final long PROPAGATION_MILLIS = 100;
 
     static Stream<Arguments> repeats() {
         return Stream.of(7, 30, 95).flatMap(routers -> Stream.of(50, 500, 5_000)
@@ -32,19 +32,23 @@
 
     @ParameterizedTest
     @MethodSource("repeats")
-    void sendsNothingOnceAllKnowOfTheThirdEnd(int routers, long gapMillis, Spread spread) {
+    void sendsNothingOnceAllRoutersKnowTheThirdCrash(int routers, long repeatIntervalMillis, Spread spread) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SeededSuspects played = new SeededSuspects(
-                            new SuspectScenario(routers, gapMillis, spread, NEWS_MILLIS, 0, RouterFaults.NONE), seed)
-                    .play();
-            assertThat(played.sentAfterThirdEnd(KNOWN_MILLIS))
+            SuspectSimulation simulation = new SuspectSimulation(
+                            new SuspectScenario(
+                                    routers, repeatIntervalMillis, spread, GOSSIP_MILLIS, 0, RouterFaults.NONE),
+                            seed)
+                    .run();
+            assertThat(simulation.sentAfterThirdEnd(PROPAGATION_MILLIS))
                     .as("sent, seed %d", seed)
                     .isZero();
-            assertThat(played.refusedOthers())
+            assertThat(simulation.otherRefusedRequests())
                     .as("others refused, seed %d", seed)
                     .isEmpty();
             if (spread != Spread.ALL) {
-                assertThat(played.ended()).as("ended, seed %d", seed).isLessThanOrEqualTo(KNOWN_AFTER + BORNE);
+                assertThat(simulation.crashCount())
+                        .as("ended, seed %d", seed)
+                        .isLessThanOrEqualTo(CRASHES_TO_IDENTIFY + TOLERATED_SENDS);
             }
         }
     }
@@ -57,21 +61,24 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void keepsToWhatIsBorneThoughNewsAndRoutersAreLost(
-            long gapMillis, Spread spread, double lostShare, RouterFaults faults) {
+    void limitsCrashesWhenGossipAndRoutersAreLost(
+            long repeatIntervalMillis, Spread spread, double lostShare, RouterFaults faults) {
         for (int seed = 0; seed < 3 * SEEDS; seed++) {
-            SeededSuspects played = new SeededSuspects(
-                            new SuspectScenario(7, gapMillis, spread, NEWS_MILLIS, lostShare, faults), seed)
-                    .play();
-            assertThat(played.sentAfterThirdEnd(SeededSuspects.IN_TOUCH_MILLIS))
+            SuspectSimulation simulation = new SuspectSimulation(
+                            new SuspectScenario(7, repeatIntervalMillis, spread, GOSSIP_MILLIS, lostShare, faults),
+                            seed)
+                    .run();
+            assertThat(simulation.sentAfterThirdEnd(SuspectSimulation.SYNC_MILLIS))
                     .as("sent, seed %d", seed)
-                    .isLessThanOrEqualTo(BORNE);
-            assertThat(played.refusedOthers())
+                    .isLessThanOrEqualTo(TOLERATED_SENDS);
+            assertThat(simulation.otherRefusedRequests())
                     .as("others refused, seed %d", seed)
                     .isEmpty();
             if (lostShare == 0) {
                 int halves = faults == RouterFaults.SPLIT ? 2 : 1;
-                assertThat(played.ended()).as("ended, seed %d", seed).isLessThanOrEqualTo(halves * KNOWN_AFTER + BORNE);
+                assertThat(simulation.crashCount())
+                        .as("ended, seed %d", seed)
+                        .isLessThanOrEqualTo(halves * CRASHES_TO_IDENTIFY + TOLERATED_SENDS);
             }
         }
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SeededSuspects.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectSimulation.java
@@ -16,19 +16,19 @@
  *
  * <p>Routers, news and upstreams are modelled with their delays; what is decided is decided by {@link SuspectTable}.
  */
-final class SeededSuspects {
+final class SuspectSimulation {
 
     /** Sends that one attempt of a caller may have. */
-    static final int SENDS = 2;
+    static final int MAX_SENDS = 2;
 
     /** Time after a start, or after the third end, from which a router is expected to know what the others know. */
-    static final long IN_TOUCH_MILLIS = 3_000;
+    static final long SYNC_MILLIS = 3_000;
 
     private static final int UPSTREAMS = 14;
-    private static final long DAY_MILLIS = 20_000;
-    private static final long CHECK_MILLIS = 3;
-    private static final long PATIENCE_MILLIS = 2_000;
-    private static final long CATCH_UP_MILLIS = 500;
+    private static final long SIMULATED_MILLIS = 20_000;
+    private static final long CRASH_DETECTION_MILLIS = 3;
+    private static final long MAX_WAIT_MILLIS = 2_000;
+    private static final long FULL_STATE_INTERVAL_MILLIS = 500;
     private static final long SPLIT_FROM_MILLIS = 2_000;
     private static final long SPLIT_UNTIL_MILLIS = 7_000;
     private static final RequestDigest CAUSE = new RequestDigest(1, 1);
@@ -39,11 +39,11 @@
     private final List<RouterModel> routers = new ArrayList<>();
     private final List<UpstreamModel> upstreams = new ArrayList<>();
     private final Set<RequestDigest> refused = new LinkedHashSet<>();
-    private final List<Long> endsMillis = new ArrayList<>();
+    private final List<Long> crashesMillis = new ArrayList<>();
     private final List<Long> sendsMillis = new ArrayList<>();
     private long starts;
 
-    SeededSuspects(SuspectScenario scenario, long seed) {
+    SuspectSimulation(SuspectScenario scenario, long seed) {
         this.scenario = scenario;
         this.random = new Random(seed);
         for (int i = 0; i < scenario.routers(); i++) {
@@ -67,21 +67,23 @@
     }
 
     /** Plays until nothing is left to happen. */
-    SeededSuspects play() {
-        for (long atMillis = 1_000; atMillis < DAY_MILLIS; atMillis += scenario.gapMillis()) {
-            at(atMillis, this::repeat);
+    SuspectSimulation run() {
+        for (long atMillis = 1_000; atMillis < SIMULATED_MILLIS; atMillis += scenario.repeatIntervalMillis()) {
+            at(atMillis, this::repeatRequest);
         }
-        for (int i = 0; i < DAY_MILLIS / 25; i++) {
+        for (int i = 0; i < SIMULATED_MILLIS / 25; i++) {
             RequestDigest other = new RequestDigest(1_000 + i, i);
-            at(upTo(DAY_MILLIS), () -> arrive(other, anyRouter()));
+            at(upTo(SIMULATED_MILLIS), () -> requestArrives(other, anyRouter()));
         }
         if (scenario.lostShare() > 0 || scenario.faults() == SuspectScenario.RouterFaults.SPLIT) {
-            for (long atMillis = CATCH_UP_MILLIS; atMillis < DAY_MILLIS; atMillis += CATCH_UP_MILLIS) {
-                at(atMillis, () -> routers.forEach(RouterModel::catchUp));
+            for (long atMillis = FULL_STATE_INTERVAL_MILLIS;
+                    atMillis < SIMULATED_MILLIS;
+                    atMillis += FULL_STATE_INTERVAL_MILLIS) {
+                at(atMillis, () -> routers.forEach(RouterModel::sendFullStateToAll));
             }
         }
         if (scenario.faults() == SuspectScenario.RouterFaults.RESTARTS) {
-            for (long atMillis = 1_500; atMillis < DAY_MILLIS; atMillis += 700) {
+            for (long atMillis = 1_500; atMillis < SIMULATED_MILLIS; atMillis += 700) {
                 at(atMillis, () -> anyRouter().restart());
             }
         }
@@ -93,40 +95,40 @@
         return routers.get(random.nextInt(routers.size()));
     }
 
-    private void repeat() {
+    private void repeatRequest() {
         switch (scenario.spread()) {
-            case ONE -> arrive(CAUSE, routers.get(0));
-            case ALL -> routers.forEach(router -> arrive(CAUSE, router));
-            default -> arrive(CAUSE, anyRouter());
+            case ONE -> requestArrives(CAUSE, routers.get(0));
+            case ALL -> routers.forEach(router -> requestArrives(CAUSE, router));
+            default -> requestArrives(CAUSE, anyRouter());
         }
     }
 
-    private void arrive(RequestDigest request, RouterModel router) {
-        new RunModel(request, router).send();
+    private void requestArrives(RequestDigest request, RouterModel router) {
+        new AttemptModel(request, router).send();
     }
 
     /** Returns how many upstreams the request ended. */
-    int ended() {
-        return endsMillis.size();
+    int crashCount() {
+        return crashesMillis.size();
     }
 
     /** Returns how often routers that are in touch sent the request later than a time after the third end. */
     long sentAfterThirdEnd(long millis) {
-        return endsMillis.size() < 3
+        return crashesMillis.size() < 3
                 ? 0
                 : sendsMillis.stream()
-                        .filter(sent -> sent > endsMillis.get(2) + millis)
+                        .filter(sent -> sent > crashesMillis.get(2) + millis)
                         .count();
     }
 
     /** Returns the other requests that were refused as if they ended upstreams. */
-    Set<RequestDigest> refusedOthers() {
+    Set<RequestDigest> otherRefusedRequests() {
         Set<RequestDigest> others = new LinkedHashSet<>(refused);
         others.remove(CAUSE);
         return others;
     }
 
-    private boolean isSplit(RouterModel one, RouterModel other) {
+    private boolean isPartitioned(RouterModel one, RouterModel other) {
         boolean apart = one.place % 2 != other.place % 2;
         return apart
                 && scenario.faults() == SuspectScenario.RouterFaults.SPLIT
@@ -137,11 +139,11 @@
     /** A router with what it knows and what it has in flight. */
     private final class RouterModel {
         private final int place;
-        private final Set<RunModel> open = new LinkedHashSet<>();
+        private final Set<AttemptModel> inFlight = new LinkedHashSet<>();
         private ProcessId process;
         private SuspectTable table;
         private int incarnation;
-        private long startedMillis = -IN_TOUCH_MILLIS;
+        private long startedMillis = -SYNC_MILLIS;
 
         RouterModel(int place) {
             this.place = place;
@@ -155,96 +157,97 @@
 
         /** Loses all that it knows and serves, and learns from the others what they know a little later. */
         private void restart() {
-            List.copyOf(open).forEach(RunModel::leave);
-            ProcessId gone = process;
+            List.copyOf(inFlight).forEach(AttemptModel::finish);
+            ProcessId previousProcess = process;
             begin();
             startedMillis = now();
-            routers.forEach(router -> router.table.removeProcess(gone, now()));
-            at(now() + 50, () -> routers.forEach(router -> router.tellAll(this)));
+            routers.forEach(router -> router.table.removeProcess(previousProcess, now()));
+            at(now() + 50, () -> routers.forEach(router -> router.sendFullState(this)));
         }
 
-        private void tell(Consumer<RouterModel> news) {
+        private void broadcast(Consumer<RouterModel> message) {
             for (RouterModel other : routers) {
-                boolean lost = isSplit(this, other) || random.nextDouble() < scenario.lostShare();
+                boolean lost = isPartitioned(this, other) || random.nextDouble() < scenario.lostShare();
                 if (other != this && !lost) {
-                    ProcessId meant = other.process;
-                    at(now() + 1 + upTo(scenario.newsMillis()), () -> {
-                        if (other.process.equals(meant)) {
-                            news.accept(other);
+                    ProcessId recipient = other.process;
+                    at(now() + 1 + upTo(scenario.gossipMillis()), () -> {
+                        if (other.process.equals(recipient)) {
+                            message.accept(other);
                         }
                     });
                 }
             }
         }
 
-        private void tellAll(RouterModel other) {
-            if (other == this || isSplit(this, other)) {
+        private void sendFullState(RouterModel other) {
+            if (other == this || isPartitioned(this, other)) {
                 return;
             }
             for (SuspectedRequest suspicion : table.list(64, now())) {
                 suspicion
                         .crashes()
-                        .forEach(told -> other.hear(suspicion.request(), told.upstream(), told.answerStarted(), null));
+                        .forEach(told ->
+                                other.receiveCrash(suspicion.request(), told.upstream(), told.answerStarted(), null));
             }
         }
 
-        private void catchUp() {
-            routers.forEach(this::tellAll);
+        private void sendFullStateToAll() {
+            routers.forEach(this::sendFullState);
         }
 
-        private void hear(RequestDigest request, UpstreamId upstream, boolean begun, ProcessId seenBy) {
-            if (table.upstreamCrashed(request, new ObservedCrash(upstream, begun, now()), seenBy, now())) {
-                moreKnown(request);
+        private void receiveCrash(RequestDigest request, UpstreamId upstream, boolean answerStarted, ProcessId seenBy) {
+            if (table.upstreamCrashed(request, new ObservedCrash(upstream, answerStarted, now()), seenBy, now())) {
+                crashLearned(request);
             }
         }
 
-        private void moreKnown(RequestDigest request) {
-            lookAgain(request);
+        private void crashLearned(RequestDigest request) {
+            recheck(request);
             if (table.mayBeCause(request)) {
-                at(now() + SuspectTable.SETTLE_MILLIS + 5, () -> lookAgain(request));
+                at(now() + SuspectTable.SETTLE_MILLIS + 5, () -> recheck(request));
             }
         }
 
-        private void lookAgain(RequestDigest request) {
-            for (RunModel run : List.copyOf(open)) {
+        private void recheck(RequestDigest request) {
+            for (AttemptModel run : List.copyOf(inFlight)) {
                 if (run.request.equals(request)) {
-                    run.suspected();
+                    run.requestSuspected();
                 }
             }
         }
     }
 
     /** One attempt of a caller at one router. */
-    private final class RunModel {
+    private final class AttemptModel {
         private final RequestDigest request;
         private final RouterModel router;
         private final long sinceMillis = now();
         private int sends;
         private UpstreamModel upstream;
-        private boolean begun;
-        private boolean tries;
-        private boolean over;
+        private boolean answerStarted;
+        private boolean isTrial;
+        private boolean finished;
 
-        RunModel(RequestDigest request, RouterModel router) {
+        AttemptModel(RequestDigest request, RouterModel router) {
             this.request = request;
             this.router = router;
-            router.open.add(this);
+            router.inFlight.add(this);
         }
 
         private void send() {
             SuspectDecision decision = router.table.decide(request, now());
             if (decision.action() == SuspectDecision.Action.REFUSE) {
                 refused.add(request);
-                leave();
+                finish();
                 return;
             }
-            if (!decision.sends() && now() - sinceMillis < PATIENCE_MILLIS) {
-                at(now() + decision.holdMillis(), this::goOn);
+            if (!decision.sends() && now() - sinceMillis < MAX_WAIT_MILLIS) {
+                at(now() + decision.holdMillis(), this::resume);
                 return;
             }
-            UpstreamModel chosen = decision.sends() && sends < SENDS ? choose(decision.avoided()) : null;
+            UpstreamModel chosen = decision.sends() && sends < MAX_SENDS ? choose(decision.avoided()) : null;
             if (chosen == null) {
-                leave();
+                finish();
                 return;
             }
             forward(chosen, decision.action() == SuspectDecision.Action.TRY);
@@ -253,24 +256,24 @@
         private void forward(UpstreamModel chosen, boolean alone) {
             sends++;
             upstream = chosen;
-            begun = false;
-            tries = false;
-            if (request.equals(CAUSE) && now() - router.startedMillis >= IN_TOUCH_MILLIS) {
+            answerStarted = false;
+            isTrial = false;
+            if (request.equals(CAUSE) && now() - router.startedMillis >= SYNC_MILLIS) {
                 sendsMillis.add(now());
             }
             if (alone) {
-                tryAlone();
+                startTrial();
             }
             chosen.run(this);
         }
 
-        private void tryAlone() {
-            tries = true;
+        private void startTrial() {
+            isTrial = true;
             UpstreamId start = upstream.id;
             ProcessId process = router.process;
             long end = now() + 10_000;
             router.table.trialStarted(request, process, start, end);
-            router.tell(other -> other.table.trialStarted(request, process, start, end));
+            router.broadcast(other -> other.table.trialStarted(request, process, start, end));
         }
 
         private UpstreamModel choose(Set<UpstreamId> avoided) {
@@ -284,73 +287,73 @@
 
         /** Takes in that the upstream ended; the router finds that out a little later. */
         private void lost(UpstreamId start) {
-            boolean some = begun;
-            letGo();
-            at(now() + CHECK_MILLIS, () -> {
-                if (over) {
+            boolean hadStarted = answerStarted;
+            releaseUpstream();
+            at(now() + CRASH_DETECTION_MILLIS, () -> {
+                if (finished) {
                     return;
                 }
                 ProcessId process = router.process;
-                router.table.upstreamCrashed(request, new ObservedCrash(start, some, now()), process, now());
-                router.tell(other -> other.hear(request, start, some, process));
-                router.moreKnown(request);
-                at(now(), this::goOn);
+                router.table.upstreamCrashed(request, new ObservedCrash(start, hadStarted, now()), process, now());
+                router.broadcast(other -> other.receiveCrash(request, start, hadStarted, process));
+                router.crashLearned(request);
+                at(now(), this::resume);
             });
         }
 
-        private void goOn() {
-            if (!over && upstream == null) {
+        private void resume() {
+            if (!finished && upstream == null) {
                 send();
             }
         }
 
-        private void suspected() {
-            if (upstream == null || begun) {
+        private void requestSuspected() {
+            if (upstream == null || answerStarted) {
                 return;
             }
             if (router.table.isRefused(request, now())) {
                 refused.add(request);
-                leave();
-            } else if (!tries && router.table.isSuspected(request)) {
-                if (sends < SENDS) {
-                    letGo();
+                finish();
+            } else if (!isTrial && router.table.isSuspected(request)) {
+                if (sends < MAX_SENDS) {
+                    releaseUpstream();
                     send();
                 } else {
-                    tryAlone();
+                    startTrial();
                 }
             }
         }
 
-        private void letGo() {
+        private void releaseUpstream() {
             if (upstream != null) {
                 upstream.running.remove(this);
                 upstream = null;
             }
-            if (tries) {
-                tries = false;
+            if (isTrial) {
+                isTrial = false;
                 ProcessId process = router.process;
                 router.table.trialEnded(request, process, now());
-                router.tell(other -> other.table.trialEnded(request, process, now()));
+                router.broadcast(other -> other.table.trialEnded(request, process, now()));
             }
         }
 
         private void served() {
             if (router.table.requestServed(request)) {
-                router.tell(other -> other.table.requestServed(request));
+                router.broadcast(other -> other.table.requestServed(request));
             }
-            leave();
+            finish();
         }
 
-        private void leave() {
-            letGo();
-            over = true;
-            router.open.remove(this);
+        private void finish() {
+            releaseUpstream();
+            finished = true;
+            router.inFlight.remove(this);
         }
     }
 
     /** An upstream that starts again some seconds after it ended. */
     private final class UpstreamModel {
-        private final Set<RunModel> running = new LinkedHashSet<>();
+        private final Set<AttemptModel> running = new LinkedHashSet<>();
         private UpstreamId id;
 
         UpstreamModel() {
@@ -361,7 +364,7 @@
             id = new UpstreamId("upstream-" + starts++);
         }
 
-        private void run(RunModel run) {
+        private void run(AttemptModel run) {
             running.add(run);
             UpstreamId start = id;
             long beginMillis = now() + upTo(150);
@@ -373,7 +376,7 @@
                 });
                 return;
             }
-            at(beginMillis + 50, () -> run.begun |= running.contains(run) && start.equals(id));
+            at(beginMillis + 50, () -> run.answerStarted |= running.contains(run) && start.equals(id));
             at(beginMillis + 200 + upTo(1_800), () -> {
                 if (start.equals(id) && running.contains(run)) {
                     run.served();
@@ -384,8 +387,8 @@
         private void crash() {
             UpstreamId start = id;
             id = null;
-            endsMillis.add(now());
-            List<RunModel> lost = List.copyOf(running);
+            crashesMillis.add(now());
+            List<AttemptModel> lost = List.copyOf(running);
             running.clear();
             lost.forEach(run -> run.lost(start));
             at(now() + 2_000 + upTo(2_000), this::begin);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
@@ -21,7 +21,7 @@
     private static final RequestDigest OTHER = new RequestDigest(2, 2);
 
     /** Time between two ends that have nothing to do with each other. */
-    private static final long APART_MILLIS = 1_000;
+    private static final long UNRELATED_MILLIS = 1_000;
 
     private final List<SuspectedRequest> found = new ArrayList<>();
     private final SuspectTable table = new SuspectTable(OWN, found::add);
@@ -31,17 +31,17 @@
         return new UpstreamId("upstream-" + number);
     }
 
-    private void end(int number, boolean begun, RequestDigest... requests) {
+    private void crash(int number, boolean answerStarted, RequestDigest... requests) {
         for (RequestDigest request : requests) {
-            table.upstreamCrashed(request, new ObservedCrash(upstream(number), begun, now), OWN, now);
+            table.upstreamCrashed(request, new ObservedCrash(upstream(number), answerStarted, now), OWN, now);
         }
     }
 
     /** Lets upstreams end one after the other while requests are in flight that had got nothing of their answers. */
-    private void endApart(int first, int last, RequestDigest... requests) {
+    private void crashUnrelated(int first, int last, RequestDigest... requests) {
         for (int number = first; number <= last; number++) {
-            now += APART_MILLIS;
-            end(number, false, requests);
+            now += UNRELATED_MILLIS;
+            crash(number, false, requests);
         }
     }
 
@@ -55,19 +55,19 @@
     }
 
     @Test
-    void sendsWhatIsNotSuspected() {
-        endApart(1, 3, CAUSE);
+    void sendsARequestThatIsNotSuspected() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(table.mayContain(OTHER.head())).isFalse();
     }
 
     @Test
-    void triesARequestAloneFromTheFirstEndOnAndRefusesItFromTheThirdOn() {
-        endApart(1, 1, CAUSE);
+    void runsTrialsAfterTheFirstCrashAndRefusesAfterTheThird() {
+        crashUnrelated(1, 1, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
-        endApart(2, 2, CAUSE);
+        crashUnrelated(2, 2, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
-        endApart(3, 3, CAUSE);
+        crashUnrelated(3, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(found).hasSize(1);
         assertThat(found.get(0).crashes()).hasSize(3);
@@ -79,8 +79,8 @@
      * before all that was in flight could be told.
      */
     @Test
-    void waitsForWhatOthersTellBeforeItNamesACause() {
-        endApart(1, 3, CAUSE);
+    void waitsForGossipBeforeItIdentifiesACause() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.SETTLE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
@@ -90,50 +90,50 @@
      * ends it, they are sent again to the engine to which the cause is sent again. Cause: a plain count of ends.
      */
     @Test
-    void doesNotSuspectARequestWhoseAnswerHadBegunEachTime() {
-        now += APART_MILLIS;
-        end(1, false, CAUSE);
-        end(1, true, OTHER);
-        now += APART_MILLIS;
-        end(2, false, CAUSE);
-        end(2, true, OTHER);
-        now += APART_MILLIS;
-        end(3, false, CAUSE);
-        end(3, true, OTHER);
+    void doesNotSuspectARequestWhoseAnswerHadStartedEachTime() {
+        now += UNRELATED_MILLIS;
+        crash(1, false, CAUSE);
+        crash(1, true, OTHER);
+        now += UNRELATED_MILLIS;
+        crash(2, false, CAUSE);
+        crash(2, true, OTHER);
+        now += UNRELATED_MILLIS;
+        crash(3, false, CAUSE);
+        crash(3, true, OTHER);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void refusesARequestUnderWhichSixUpstreamsEndedThoughItsAnswerHadBegun() {
-        for (int number = 1; number < CauseFinder.ENDS_OF_A_HIDDEN_CAUSE; number++) {
-            now += APART_MILLIS;
-            end(number, true, CAUSE);
+    void refusesARequestAfterSixCrashesThoughItsAnswerHadStarted() {
+        for (int number = 1; number < CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE; number++) {
+            now += UNRELATED_MILLIS;
+            crash(number, true, CAUSE);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
-        now += APART_MILLIS;
-        end(CauseFinder.ENDS_OF_A_HIDDEN_CAUSE, true, CAUSE);
+        now += UNRELATED_MILLIS;
+        crash(CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE, true, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void namesTheRequestThatExplainsMoreAndClearsTheOther() {
-        endApart(1, 1, CAUSE);
-        endApart(2, 4, CAUSE, OTHER);
+    void identifiesTheRequestThatExplainsMoreCrashesAndClearsTheOther() {
+        crashUnrelated(1, 1, CAUSE);
+        crashUnrelated(2, 4, CAUSE, OTHER);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(found).extracting(SuspectedRequest::request).containsExactly(CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void tellsRequestsThatShareAllTheirEndsApartByOneMoreEnd() {
-        endApart(1, 3, CAUSE, OTHER);
+    void distinguishesRequestsWithTheSameCrashesByOneMoreCrash() {
+        crashUnrelated(1, 3, CAUSE, OTHER);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
         table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         SuspectDecision other = table.decide(OTHER, now);
         assertThat(other.action()).isEqualTo(Action.TRY);
         assertThat(other.avoided()).containsExactly(upstream(4));
-        endApart(4, 4, CAUSE);
+        crashUnrelated(4, 4, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(decide(OTHER)).isEqualTo(Action.SEND);
     }
@@ -144,24 +144,24 @@
      * engine to which it was not sent.
      */
     @ParameterizedTest
-    @ValueSource(longs = {0, UpstreamEnds.TOGETHER_MILLIS / 2})
-    void doesNotSuspectARequestOfEndsThatTookOtherUpstreamsToo(long spreadMillis) {
+    @ValueSource(longs = {0, UpstreamCrashes.SIMULTANEOUS_MILLIS / 2})
+    void doesNotSuspectARequestOfCrashesSimultaneousWithOthers(long spreadMillis) {
         for (int rack = 0; rack < 4; rack++) {
-            now += APART_MILLIS;
-            end(10 * rack, false, CAUSE);
-            end(10 * rack + 1, false, new RequestDigest(10, rack));
+            now += UNRELATED_MILLIS;
+            crash(10 * rack, false, CAUSE);
+            crash(10 * rack + 1, false, new RequestDigest(10, rack));
             now += spreadMillis;
-            end(10 * rack + 2, false, new RequestDigest(11, rack));
+            crash(10 * rack + 2, false, new RequestDigest(11, rack));
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
     }
 
     @Test
-    void suspectsARequestThatWasSentToAllUpstreamsThatWereLostTogether() {
-        now += APART_MILLIS;
-        end(1, false, CAUSE);
-        end(2, false, CAUSE, OTHER);
-        end(3, false, CAUSE);
+    void suspectsARequestInFlightAtAllSimultaneouslyCrashedUpstreams() {
+        now += UNRELATED_MILLIS;
+        crash(1, false, CAUSE);
+        crash(2, false, CAUSE, OTHER);
+        crash(3, false, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(decide(OTHER)).isEqualTo(Action.SEND);
     }
@@ -171,47 +171,47 @@
      * same moment. Cause: an end that may have another cause never counts.
      */
     @Test
-    void refusesARequestUnderWhichSixUpstreamsEndedThoughOthersEndedAtTheSameMoments() {
-        for (int number = 1; number <= CauseFinder.ENDS_OF_A_HIDDEN_CAUSE; number++) {
+    void refusesARequestAfterSixCrashesThoughOthersWereSimultaneous() {
+        for (int number = 1; number <= CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE; number++) {
             assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
-            now += APART_MILLIS;
-            end(10 * number, false, CAUSE);
-            end(10 * number + 1, false, new RequestDigest(10, number));
-            end(10 * number + 2, false, new RequestDigest(11, number));
+            now += UNRELATED_MILLIS;
+            crash(10 * number, false, CAUSE);
+            crash(10 * number + 1, false, new RequestDigest(10, number));
+            crash(10 * number + 2, false, new RequestDigest(11, number));
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void countsAnEndOnceHoweverManyTellOfIt() {
-        endApart(1, 2, CAUSE);
+    void countsACrashOnceHoweverOftenItIsReported() {
+        crashUnrelated(1, 2, CAUSE);
         for (int i = 0; i < 5; i++) {
-            end(2, false, CAUSE);
+            crash(2, false, CAUSE);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
-    void tellsTheStartsOfOneUpstreamApart() {
+    void distinguishesIncarnationsOfOneUpstream() {
         for (int start = 1; start <= 3; start++) {
-            now += APART_MILLIS;
+            now += UNRELATED_MILLIS;
             table.upstreamCrashed(CAUSE, new ObservedCrash(new UpstreamId("only", start), false, now), OWN, now);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void clearsARequestThatWasServedWhole() {
-        endApart(1, 2, CAUSE);
+    void clearsARequestThatWasServed() {
+        crashUnrelated(1, 2, CAUSE);
         assertThat(table.requestServed(CAUSE)).isTrue();
-        endApart(3, 4, CAUSE);
+        crashUnrelated(3, 4, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
         assertThat(table.size()).isEqualTo(1);
     }
 
     @Test
-    void holdsARequestWhileAnotherRouterTriesTheSame() {
-        endApart(1, 1, CAUSE);
+    void holdsARequestDuringATrialOfAnotherRouter() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, PEER, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, PEER, now);
@@ -226,8 +226,8 @@
      * Cause: who hears of an end took the request for one that nobody tries.
      */
     @Test
-    void letsTheRouterThatSawAnEndGoOnFirst() {
-        now += APART_MILLIS;
+    void letsTheRouterThatObservedACrashContinueFirst() {
+        now += UNRELATED_MILLIS;
         table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, now), PEER, now);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         now += 9 * SuspectTable.RECHECK_MILLIS;
@@ -235,8 +235,8 @@
     }
 
     @Test
-    void goesOnAtOnceAfterATrialOfItsOwn() {
-        endApart(1, 1, CAUSE);
+    void continuesAtOnceAfterItsOwnTrial() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, OWN, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, OWN, now);
@@ -244,8 +244,8 @@
     }
 
     @Test
-    void waitsNoLongerForARouterThatIsGoneOrATrialWhoseTimeIsOver() {
-        endApart(1, 1, CAUSE);
+    void doesNotWaitForARemovedRouterOrATimedOutTrial() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, PEER, upstream(2), now + 100);
         now += 101;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
@@ -260,22 +260,22 @@
      * ends three of them each time that it is tried. Sequence: its refusal ends after a time, and it is tried once.
      */
     @Test
-    void triesARefusedRequestOnceAfterATimeAndRefusesItAgainIfThatUpstreamEndsToo() {
-        endApart(1, 3, CAUSE);
+    void retriesARefusedRequestOnceAfterATimeAndRefusesItAgainAfterACrash() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         now += SuspectTable.REFUSED_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
         table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, OWN, now);
-        end(4, false, CAUSE);
+        crash(4, false, CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void forgetsARequestUnderWhichNoUpstreamEndedForLong() {
-        endApart(1, 3, CAUSE);
-        now += SuspectTable.FORGOTTEN_MILLIS;
+    void removesARequestWithoutRecentCrashes() {
+        crashUnrelated(1, 3, CAUSE);
+        now += SuspectTable.RETENTION_MILLIS;
         table.expire(now);
         assertThat(table.isEmpty()).isTrue();
         assertThat(table.mayContain(CAUSE.head())).isFalse();
@@ -286,32 +286,32 @@
      * of different requests each of which ends an upstream.
      */
     @Test
-    void forgetsThoseWithTheFewestEndsFirstIfThereAreTooMany() {
-        endApart(1, 3, CAUSE);
+    void evictsRequestsWithTheFewestCrashesFirst() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
-        endApart(4, 5, OTHER);
-        int flood = 3 * SuspectTable.MOST_SUSPECTS;
+        crashUnrelated(4, 5, OTHER);
+        int flood = 3 * SuspectTable.MAX_SUSPECTS;
         for (int i = 0; i < flood; i++) {
             now++;
             table.upstreamCrashed(
                     new RequestDigest(100 + i, i), new ObservedCrash(upstream(100 + i), false, now), OWN, now);
         }
-        assertThat(table.size()).isEqualTo(SuspectTable.MOST_SUSPECTS);
-        assertThat(table.dropped()).isEqualTo(flood - SuspectTable.MOST_SUSPECTS + 2);
+        assertThat(table.size()).isEqualTo(SuspectTable.MAX_SUSPECTS);
+        assertThat(table.dropped()).isEqualTo(flood - SuspectTable.MAX_SUSPECTS + 2);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(table.find(OTHER, now).crashes()).hasSize(2);
     }
 
     @Test
-    void isNotMisledByOnePieceOfForgedNews() {
-        endApart(1, 2, CAUSE, OTHER);
-        end(3, false, OTHER);
+    void isNotMisledByOneForgedReport() {
+        crashUnrelated(1, 2, CAUSE, OTHER);
+        crash(3, false, OTHER);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
-    void takesNoNewsOfLongAgo() {
-        long longAgo = now - SuspectTable.FORGOTTEN_MILLIS;
+    void ignoresOutdatedReports() {
+        long longAgo = now - SuspectTable.RETENTION_MILLIS;
         assertThat(table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, longAgo), null, now))
                 .isFalse();
         assertThat(table.isEmpty()).isTrue();
