--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/CauseFinder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/CauseFinder.java
@@ -8,47 +8,50 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Tells requests that end upstreams from those that only were there.
+ * Distinguishes requests that crash upstreams from requests that were merely in flight there.
  *
- * <p>What goes wrong with a plain count: a request that ends upstreams takes others with it. These are sent again,
- * often to the same upstream as the cause, and meet as many ends as it does. So an end does not count against a request
+ * <p>Counting crashes is not enough: the other requests in flight at a crashed upstream are retried, often at the same
+ * upstream as the cause, and see as many crashes as it does. So a crash does not count against a request
  *
  * <ul>
- *   <li>that had got some of its answer there, as the upstream had run it and lived;
- *   <li>if another request is known to be the cause of it;
- *   <li>if other upstreams ended at the same moment without the request.
+ *   <li>of which the upstream had sent part of the answer, because it had run the request without crashing;
+ *   <li>if another request is known to have caused the crash;
+ *   <li>if other upstreams, at which the request was not in flight, crashed at the same time.
  * </ul>
  *
- * <p>Of requests that share their ends the one with more of them is the cause. While they share all, neither is: the
- * next sends go to different upstreams and tell them apart.
+ * <p>If one request accounts for all crashes of another one and for more, it is the cause. Of requests with the same
+ * crashes none is identified yet: their next trials run at different upstreams, which distinguishes them.
  */
 final class CauseFinder {
 
-    /** Ends that make a request the cause: one may be chance and two bad luck; each more costs another upstream. */
+    /**
+     * Crashes that identify a request as the cause. One or two may be coincidence; each further one costs another
+     * upstream.
+     */
     static final int MIN_CRASHES_OF_CAUSE = 3;
 
     /**
-     * Ends that make a request the cause though some of its answer had come, or other upstreams ended at the same
-     * moment: a request may end its upstream late, and an attacker may hide it among many others that do. One that was
-     * only there seldom meets so many, as its callers give up before.
+     * Crashes that identify a request as the cause even if part of its answer had arrived or other upstreams crashed at
+     * the same time. A request may crash its upstream late, and an attacker may hide it among many others that cause
+     * crashes. A request that was merely in flight rarely sees this many, as its caller gives up earlier.
      */
     static final int MIN_CRASHES_OF_HIDDEN_CAUSE = 6;
 
     private final Collection<Suspect> suspects;
     private final UpstreamCrashes upstreamCrashes;
 
-    /** Creates a finder that looks at all suspects. */
+    /** Creates a finder for a live view of all suspects. */
     CauseFinder(Collection<Suspect> suspects, UpstreamCrashes upstreamCrashes) {
         this.suspects = suspects;
         this.upstreamCrashes = upstreamCrashes;
     }
 
-    /** Returns the ends that count against a request before it had got any of its answer. */
+    /** Returns the crashes that count against a request. */
     Set<UpstreamId> countedCrashes(Suspect suspect) {
         return unexplainedCrashes(suspect, false);
     }
 
-    /** Returns the ends of which no other request is the cause; of these all, or those that count against it. */
+    /** Returns the crashes without another known cause: all of them, or only those that count against the request. */
     private Set<UpstreamId> unexplainedCrashes(Suspect suspect, boolean all) {
         Set<UpstreamId> left = new HashSet<>();
         for (Map.Entry<UpstreamId, Crash> one : suspect.crashes().entrySet()) {
@@ -63,7 +66,7 @@
         return left;
     }
 
-    /** Tells whether another request is known to have ended an upstream. */
+    /** Tells whether another request is known to have crashed an upstream. */
     private boolean hasOtherCause(UpstreamId upstream, Suspect suspect) {
         for (Suspect other : suspects) {
             if (other != suspect && other.isCause() && other.crashes().containsKey(upstream)) {
@@ -73,13 +76,16 @@
         return false;
     }
 
-    /** Tells whether so many ends count against a request that it or one that shares them is the cause. */
+    /**
+     * Tells whether enough crashes count against a request that it, or another request with the same crashes, is the
+     * cause.
+     */
     boolean mayBeCause(Suspect suspect) {
         return suspect.crashes().size() >= MIN_CRASHES_OF_CAUSE
                 && !decisiveCrashes(suspect).isEmpty();
     }
 
-    /** Returns the ends that would make a request the cause; none if they are too few. */
+    /** Returns the crashes that identify a request as a possible cause; empty if there are too few. */
     private Set<UpstreamId> decisiveCrashes(Suspect suspect) {
         Set<UpstreamId> early = unexplainedCrashes(suspect, false);
         if (early.size() >= MIN_CRASHES_OF_CAUSE) {
@@ -90,9 +96,10 @@
     }
 
     /**
-     * Finds the cause of the ends under a request that may be it.
+     * Finds the cause of the crashes of a request that may be the cause itself.
      *
-     * @return the request itself, another one that explains more, or {@code null} if two share all their ends
+     * @return the request itself or another one that accounts for more crashes; {@code null} if two requests have the
+     *     same crashes
      */
     Suspect causeOf(Suspect suspect) {
         Set<UpstreamId> ownCrashes = decisiveCrashes(suspect);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Crash.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Crash.java
@@ -1,10 +1,11 @@
 package org.apricotstack.core.suspect;
 
 /**
- * The end of an upstream while a request was in flight there.
+ * A crash of an upstream while a request was in flight there.
  *
- * @param begun whether the upstream had sent some of the answer, so that it had run the request for a while and lived
- * @param atMillis when it ended, as far as is known here
- * @param learnedMillis when this router heard of it
+ * @param answerStarted whether the upstream had sent part of the answer, so that it had run the request for some time
+ *     without crashing
+ * @param atMillis time of the crash, as known to this router
+ * @param learnedMillis time at which this router learned of it
  */
 record Crash(boolean answerStarted, long atMillis, long learnedMillis) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/ObservedCrash.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/ObservedCrash.java
@@ -3,10 +3,10 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * The end of an upstream, as the router saw it that had a request in flight there.
+ * A crash of an upstream, observed by a router that had a request in flight there.
  *
- * @param upstream the start that ended
- * @param answerStarted whether some of the answer had come from it
- * @param atMillis when it ended
+ * @param upstream the incarnation that crashed
+ * @param answerStarted whether part of the answer had arrived from it
+ * @param atMillis time of the crash
  */
 public record ObservedCrash(UpstreamId upstream, boolean answerStarted, long atMillis) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/RequestDigest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/RequestDigest.java
@@ -11,26 +11,27 @@
 import org.apricotstack.core.id.ClientAccountId;
 
 /**
- * Tells a request apart over its repeats, each of which has another id and may come to another router.
+ * Identifies a request across its repeats, which have different ids and may arrive at different routers.
  *
- * <p>Two requests are the same if method, host name, target, client account and body are. The hashes are keyed by the
- * account, so that nobody can make a request that is taken for one of another account; with 128 bits two requests of
- * one account are not taken for each other by chance. Neither body nor account can be read from a digest.
+ * <p>Two requests are equal if method, host name, target, client account and body are equal. The hashes are keyed by
+ * the account, so that nobody can forge a request with the digest of another account's request. With 128 bits
+ * collisions between requests of one account are negligible. A digest reveals neither body nor account.
  *
- * @param head hash of everything but the bytes of the body, whose length it covers; cheap, and sorts out most requests
+ * @param head hash of everything but the bytes of the body, including the length of the body; cheap to compute and
+ *     sufficient to rule out most requests
  * @param body hash of the bytes of the body
  */
 public record RequestDigest(long head, long body) {
 
-    /** Makes keys of 128 bits from accounts, whose names are no secret. */
+    /** Derives 128-bit keys from account names, which are not secret. */
     private static final HashFunction KEY_FUNCTION = Hashing.murmur3_128(0xacc7);
 
     private static final int HEXADECIMAL_DIGITS = 16;
 
     /**
-     * Hashes what stands before the body.
+     * Hashes everything that precedes the body.
      *
-     * @param method the method
+     * @param method the HTTP method
      * @param host host name of the request
      * @param target path and query
      * @param account the client account, or {@code null} if the request needs none
@@ -48,7 +49,7 @@
     /**
      * Hashes a body.
      *
-     * @param pieces the body in pieces, whose positions move to their ends
+     * @param pieces the buffers of the body, which are consumed
      * @param account the client account, or {@code null} if the request needs none
      * @return the hash
      */
@@ -60,20 +61,20 @@
         return hasher.hash().asLong();
     }
 
-    /** Returns the hash function of an account. */
+    /** Returns the hash function keyed by an account. */
     private static HashFunction hashFunctionOf(ClientAccountId account) {
         HashCode key = KEY_FUNCTION.hashString(account == null ? "" : account.value(), StandardCharsets.UTF_8);
         ByteBuffer keyBytes = ByteBuffer.wrap(key.asBytes());
         return Hashing.sipHash24(keyBytes.getLong(), keyBytes.getLong());
     }
 
-    /** Writes both hashes in hexadecimal, as logs show them. */
+    /** Formats both hashes in hexadecimal, as used in logs. */
     @Override
     public String toString() {
         return hexadecimal(head) + hexadecimal(body);
     }
 
-    /** Writes a hash with leading zeros. */
+    /** Formats a hash with leading zeros. */
     private static String hexadecimal(long hash) {
         String hexadecimal = Long.toHexString(hash);
         return "0".repeat(HEXADECIMAL_DIGITS - hexadecimal.length()) + hexadecimal;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Suspect.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Suspect.java
@@ -7,7 +7,7 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** What is known of one request under which upstreams ended. */
+/** The recorded crashes and trials of one request that was in flight when upstreams crashed. */
 final class Suspect {
 
     private final RequestDigest request;
@@ -20,24 +20,24 @@
     private ProcessId lastTrialRouter;
     private long lastTrialEndMillis = Long.MIN_VALUE / 2;
 
-    /** Creates a suspect under which nothing has ended yet. */
+    /** Creates a suspect without crashes. */
     Suspect(RequestDigest request, long sinceMillis) {
         this.request = request;
         this.sinceMillis = sinceMillis;
         this.lastCrashMillis = sinceMillis;
     }
 
-    /** Returns what tells the request apart. */
+    /** Returns the digest of the request. */
     RequestDigest request() {
         return request;
     }
 
-    /** Returns the ends of upstreams under it, in the order in which they were heard of. */
+    /** Returns the crashes of upstreams at which it was in flight, in the order in which they were learned. */
     Map<UpstreamId, Crash> crashes() {
         return crashes;
     }
 
-    /** Notes the end of an upstream under it; tells whether it was not known. */
+    /** Records a crash of an upstream at which it was in flight; returns whether the crash was new. */
     boolean recordCrash(UpstreamId upstream, Crash crash) {
         Crash known = crashes.get(upstream);
         boolean answerStarted = crash.answerStarted() || known != null && known.answerStarted();
@@ -51,61 +51,61 @@
         return true;
     }
 
-    /** Returns when the first upstream ended under it. */
+    /** Returns the time of the first crash. */
     long sinceMillis() {
         return sinceMillis;
     }
 
-    /** Returns when the last upstream ended under it. */
+    /** Returns the time of the last crash. */
     long lastCrashMillis() {
         return lastCrashMillis;
     }
 
-    /** Returns when the last end was heard of. */
+    /** Returns when the latest crash was learned. */
     long learnedMillis() {
         return learnedMillis;
     }
 
-    /** Tells whether it was found to be the cause of its upstreams' ends. */
+    /** Tells whether it was identified as the cause of the crashes. */
     boolean isCause() {
         return cause;
     }
 
-    /** Notes that it is the cause. */
+    /** Marks it as the cause. */
     void markCause() {
         cause = true;
     }
 
-    /** Notes a send by a router. */
+    /** Records the start of a router's trial. */
     void trialStarted(ProcessId router, Trial trial) {
         trials.put(router, trial);
     }
 
-    /** Notes that the send of a router is over, for whatever reason; others may follow. */
+    /** Records the end of a router's trial with any outcome, after which the next trial may start. */
     void trialEnded(ProcessId router, long nowMillis) {
         if (trials.remove(router) != null) {
             recordTrialEnd(router, nowMillis);
         }
     }
 
-    /** Notes that a router had it at an upstream until now. */
+    /** Records that a router had it in flight at an upstream until now. */
     void recordTrialEnd(ProcessId router, long nowMillis) {
         lastTrialRouter = router;
         lastTrialEndMillis = nowMillis;
     }
 
-    /** Returns the sends that may still end their upstreams. */
+    /** Returns the trials that have not timed out. */
     Map<ProcessId, Trial> trials(long nowMillis) {
         trials.values().removeIf(trial -> trial.endMillis() < nowMillis);
         return trials;
     }
 
-    /** Returns when the last send was over. */
+    /** Returns the end of the last trial. */
     long lastTrialEndMillis() {
         return lastTrialEndMillis;
     }
 
-    /** Returns the router whose send was over last, or {@code null}. */
+    /** Returns the router whose trial ended last, or {@code null}. */
     ProcessId lastTrialRouter() {
         return lastTrialRouter;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectDecision.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectDecision.java
@@ -5,56 +5,57 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * What is to be done with a request that may end the upstream that runs it.
+ * The decision about a request that may crash the upstream that runs it.
  *
- * @param action what is to be done now
- * @param holdMillis time after which to ask again, in milliseconds, if it waits
- * @param avoided upstreams at which other suspected requests run; at another one a further end tells them apart
+ * @param action the action to take now
+ * @param holdMillis time after which to decide again, in milliseconds, if the request has to wait
+ * @param avoided upstreams at which other suspected requests run; a crash at any other upstream distinguishes the
+ *     requests
  */
 public record SuspectDecision(Action action, long holdMillis, Set<UpstreamId> avoided) {
 
     /** For a request that is not suspected. */
     public static final SuspectDecision SEND = new SuspectDecision(Action.SEND, 0, Set.of());
 
-    /** For a request that is the cause of its upstreams' ends. */
+    /** For a request that was identified as the cause of crashes. */
     public static final SuspectDecision REFUSE = new SuspectDecision(Action.REFUSE, 0, Set.of());
 
-    /** What is to be done. */
+    /** Actions. */
     public enum Action {
-        /** Send it as any other. */
+        /** Send it like any other request. */
         SEND,
-        /** Send it, and tell the other routers, so that none sends the same meanwhile. */
+        /** Send it as a trial and notify the other routers, so that none sends the same request meanwhile. */
         TRY,
-        /** Wait until the same request was tried elsewhere. */
+        /** Wait until the trial of the same request at another router ends. */
         HOLD,
-        /** Wait a moment for what others tell of the last end, however long the request has waited. */
+        /** Wait briefly for reports of other routers about the last crash, however long the request has waited. */
         SETTLE,
-        /** Send it to no upstream. */
+        /** Reject it without sending it to any upstream. */
         REFUSE
     }
 
-    /** Copies the set. */
+    /** Creates a decision with a copy of the set. */
     public SuspectDecision {
         avoided = Set.copyOf(avoided);
     }
 
-    /** Makes the decision to wait for a trial elsewhere. */
+    /** Creates the decision to wait for a trial at another router. */
     static SuspectDecision hold(long millis) {
         return new SuspectDecision(Action.HOLD, millis, Set.of());
     }
 
-    /** Makes the decision to wait for what others tell. */
+    /** Creates the decision to wait for reports of other routers. */
     static SuspectDecision settle(long millis) {
         return new SuspectDecision(Action.SETTLE, millis, Set.of());
     }
 
-    /** Makes the decision to send it alone. */
+    /** Creates the decision to send the request as a trial. */
     static SuspectDecision attempt(Set<UpstreamId> avoided) {
         return new SuspectDecision(Action.TRY, 0, avoided);
     }
 
     /**
-     * Tells whether it may be sent now.
+     * Tells whether the request may be sent now.
      *
      * @return whether it may
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectTable.java
@@ -13,38 +13,44 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Requests under which upstreams ended, as this router saw it and as the others told.
+ * Requests that were in flight when upstreams crashed, as observed by this router or reported by others.
  *
- * <p>What goes wrong without it: a request ends the upstream that begins to run it, its callers repeat it at any router
- * with a new id, and no limit holds over these repeats, so that it ends one upstream after the other. So each router
- * tells the others of each end; all know the same and decide alike. From the first end on the request is sent to one
- * upstream at a time in the whole fleet, from the third on to none ({@link CauseFinder}). A request that is served
- * whole is no longer suspected.
+ * <p>A request that crashes the upstream that runs it would otherwise crash one upstream after the other: its callers
+ * repeat it with new ids at any router, so that limits on retries don't apply. Routers therefore report each crash to
+ * all others, so that all have the same state and make the same decisions. After the first crash the request is sent to
+ * one upstream at a time in the whole fleet, and after the third crash to none (see {@link CauseFinder}). A request
+ * that is served completely is no longer suspected.
  *
- * <p>An upstream's new version may have mended it, so a request is refused for {@link #REFUSED_MILLIS}, then tried
- * once; if it ends that upstream too, it is refused again. One that goes on to come costs an upstream in that time.
+ * <p>A new version of the upstream may have fixed the fault, so a request is refused for {@link #REFUSED_MILLIS} and
+ * then sent once as a trial. If that upstream crashes too, the request is refused again. A request that keeps being
+ * repeated thus costs one upstream per period.
  */
 public final class SuspectTable {
 
-    /** Time for which a request is refused after the last end under it, in milliseconds: at most 48 ends a day. */
+    /** Time for which a request is refused after its last crash, in milliseconds; allows at most 48 crashes a day. */
     public static final long REFUSED_MILLIS = 30 * 60_000;
 
-    /** Time after the last end at which a request is forgotten, in milliseconds. */
+    /** Time after its last crash at which a request is removed, in milliseconds. */
     public static final long RETENTION_MILLIS = 2 * REFUSED_MILLIS;
 
-    /** Requests that are remembered: an attacker may send any number, and each takes about a kilobyte. */
+    /**
+     * Maximum number of suspects. An attacker may send any number of requests, and each suspect takes about a kilobyte.
+     */
     public static final int MAX_SUSPECTS = 1_000;
 
     /**
-     * Time for which a cause is not named after the last end, in milliseconds: what else was in flight there is told
-     * by other routers meanwhile.
+     * Time after the last crash during which no cause is identified, in milliseconds, as other routers report their
+     * requests in flight there meanwhile.
      */
     static final long SETTLE_MILLIS = 40;
 
-    /** Time between two looks of a request that is held, in milliseconds; news between routers take less. */
+    /** Interval at which a held request is re-evaluated, in milliseconds; gossip messages take less time. */
     static final long RECHECK_MILLIS = 20;
 
-    /** Moments after a trial over which routers that hold the same request are spread, so that one goes first. */
+    /**
+     * Number of time slots after a trial over which routers that hold the same request are spread, so that one of them
+     * starts the next trial before the others.
+     */
     private static final int TRIAL_SLOTS = 8;
 
     private final ProcessId own;
@@ -59,7 +65,7 @@
      * Creates a table without suspects.
      *
      * @param own this router process
-     * @param onCauseFound takes each request that is found to be the cause
+     * @param onCauseFound receives each request that is identified as a cause
      */
     public SuspectTable(ProcessId own, Consumer<SuspectedRequest> onCauseFound) {
         this.own = own;
@@ -67,32 +73,33 @@
     }
 
     /**
-     * Tells cheaply whether a request may be among the suspects.
+     * Checks cheaply whether a request may be a suspect.
      *
-     * @param head the hash of all but its body
-     * @return {@code false} if it is none
+     * @param head the head hash of the request
+     * @return {@code false} if it is certainly no suspect
      */
     public boolean mayContain(long head) {
         return headCounts.containsKey(head);
     }
 
     /**
-     * Tells whether any request is suspected.
+     * Tells whether the table is empty.
      *
-     * @return whether none is
+     * @return whether no request is suspected
      */
     public boolean isEmpty() {
         return suspects.isEmpty();
     }
 
     /**
-     * Notes that an upstream ended while a request was in flight there.
+     * Records that an upstream crashed while a request was in flight there.
      *
      * @param request the request
-     * @param end what ended, and when
-     * @param seenBy the router process that saw it, which may go on first, or {@code null} if that was long ago
+     * @param crash the observed crash
+     * @param seenBy the router process that observed it, which may start the next trial first; {@code null} if that was
+     *     long ago
      * @param nowMillis the time
-     * @return whether this was not known
+     * @return whether the crash was new
      */
     public boolean upstreamCrashed(RequestDigest request, ObservedCrash crash, ProcessId seenBy, long nowMillis) {
         long atMillis = crash.atMillis();
@@ -114,7 +121,7 @@
         return isNew;
     }
 
-    /** Forgets the request with the fewest ends, of these the one whose last is longest ago. */
+    /** Evicts the request with the fewest crashes; among equals, the one with the oldest last crash. */
     private void evictLeastSuspected() {
         if (suspects.size() < MAX_SUSPECTS) {
             return;
@@ -128,7 +135,7 @@
     }
 
     /**
-     * Notes that an upstream ran a request to its end, so that it is not suspected.
+     * Records that an upstream served a request completely, which clears it of suspicion.
      *
      * @param request the request
      * @return whether it was suspected
@@ -137,7 +144,7 @@
         return forget(request);
     }
 
-    /** Forgets a request; tells whether it was known. */
+    /** Removes a request; returns whether it was a suspect. */
     private boolean forget(RequestDigest request) {
         boolean known = suspects.remove(request) != null;
         if (known) {
@@ -147,7 +154,7 @@
     }
 
     /**
-     * Decides what is done with a request that is about to be sent.
+     * Decides how to handle a request that is about to be sent.
      *
      * @param request the request
      * @param nowMillis the time
@@ -176,7 +183,7 @@
         return SuspectDecision.attempt(nextCrashDecides ? upstreamsOfOtherTrials(suspect, nowMillis) : Set.of());
     }
 
-    /** Returns when this router may try a request after another one did. */
+    /** Returns the earliest time at which this router may start a trial after another router's trial. */
     private long earliestTrialMillis(Suspect suspect) {
         if (suspect.lastTrialRouter() == null || suspect.lastTrialRouter().equals(own)) {
             return Long.MIN_VALUE;
@@ -185,7 +192,7 @@
         return suspect.lastTrialEndMillis() + RECHECK_MILLIS * (1 + slot);
     }
 
-    /** Returns the upstreams at which other suspected requests are tried. */
+    /** Returns the upstreams at which trials of other suspected requests are in flight. */
     private Set<UpstreamId> upstreamsOfOtherTrials(Suspect suspect, long nowMillis) {
         Set<UpstreamId> upstreams = new HashSet<>();
         for (Suspect other : suspects.values()) {
@@ -197,7 +204,7 @@
     }
 
     /**
-     * Tells whether a request is sent to no upstream, and finds out whether it is the cause if that can be known now.
+     * Tells whether a request is refused. Identifies the cause of its crashes first if that is possible by now.
      *
      * @param request the request
      * @param nowMillis the time
@@ -214,7 +221,7 @@
         return suspect.isCause() && nowMillis - suspect.lastCrashMillis() < REFUSED_MILLIS;
     }
 
-    /** Names the causes of the ends under a request, those that explain most of them first. */
+    /** Identifies the causes of a request's crashes, starting with the one that accounts for most of them. */
     private void identifyCauses(Suspect suspect, long nowMillis) {
         while (!suspect.isCause() && causeFinder.mayBeCause(suspect)) {
             Suspect found = causeFinder.causeOf(suspect);
@@ -227,10 +234,10 @@
     }
 
     /**
-     * Tells whether any end of an upstream counts against a request.
+     * Tells whether any crash counts against a request.
      *
      * @param request the request
-     * @return whether its repeats are sent one at a time
+     * @return whether its repeats are sent as trials, one at a time
      */
     public boolean isSuspected(RequestDigest request) {
         Suspect suspect = suspects.get(request);
@@ -239,7 +246,7 @@
     }
 
     /**
-     * Tells whether so many upstreams ended under a request that its cause has to be looked for.
+     * Tells whether a request has enough crashes that the cause has to be identified.
      *
      * @param request the request
      * @return whether it may be the cause
@@ -250,12 +257,12 @@
     }
 
     /**
-     * Notes that a router sent a suspected request.
+     * Records that a router started a trial of a suspected request.
      *
      * @param request the request
      * @param router the router process
-     * @param upstream where it was sent
-     * @param endMillis when it is over in any case
+     * @param upstream the upstream that runs the trial
+     * @param endMillis time at which the trial times out
      */
     public void trialStarted(RequestDigest request, ProcessId router, UpstreamId upstream, long endMillis) {
         Suspect suspect = suspects.get(request);
@@ -265,7 +272,7 @@
     }
 
     /**
-     * Notes that what a router sent is over, for whatever reason.
+     * Records the end of a router's trial with any outcome.
      *
      * @param request the request
      * @param router the router process
@@ -279,7 +286,7 @@
     }
 
     /**
-     * Forgets what a router tried that is gone.
+     * Ends the trials of a router process that was removed.
      *
      * @param router the router process
      * @param nowMillis the time
@@ -289,7 +296,7 @@
     }
 
     /**
-     * Forgets requests under which no upstream has ended for long.
+     * Removes requests without a crash within {@link #RETENTION_MILLIS}.
      *
      * @param nowMillis the time
      */
@@ -304,11 +311,11 @@
     }
 
     /**
-     * Lists suspected requests, those with the most ends first.
+     * Lists suspected requests, those with the most crashes first.
      *
-     * @param most requests at the most
+     * @param maxCount maximum number of requests
      * @param nowMillis the time
-     * @return what is known of them
+     * @return the requests with their crashes
      */
     public List<SuspectedRequest> list(int maxCount, long nowMillis) {
         return suspects.values().stream()
@@ -321,18 +328,18 @@
     }
 
     /**
-     * Returns what is known of one request.
+     * Returns one suspected request.
      *
      * @param request the request
      * @param nowMillis the time
-     * @return what is known, or {@code null} if it is not suspected
+     * @return the request with its crashes; {@code null} if it is not suspected
      */
     public SuspectedRequest find(RequestDigest request, long nowMillis) {
         Suspect suspect = suspects.get(request);
         return suspect == null ? null : describe(suspect, nowMillis);
     }
 
-    /** Shows a suspect as it is now. */
+    /** Returns a snapshot of a suspect. */
     private static SuspectedRequest describe(Suspect suspect, long nowMillis) {
         List<SuspectedRequest.ReportedCrash> crashes = new ArrayList<>();
         suspect.crashes()
@@ -342,7 +349,7 @@
     }
 
     /**
-     * Returns how many requests are suspected.
+     * Returns the number of suspected requests.
      *
      * @return requests
      */
@@ -351,7 +358,7 @@
     }
 
     /**
-     * Returns how many requests are found to be causes.
+     * Returns the number of requests that were identified as causes.
      *
      * @return requests
      */
@@ -360,9 +367,9 @@
     }
 
     /**
-     * Returns how many requests were forgotten as there were too many.
+     * Returns the number of requests that were evicted because the table was full.
      *
-     * @return requests since the start
+     * @return number of requests since the router started
      */
     public long dropped() {
         return dropped;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectedRequest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/SuspectedRequest.java
@@ -6,25 +6,25 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * A suspected request as operators and other routers see it.
+ * A snapshot of a suspected request, for operators and other routers.
  *
- * @param request tells it apart
- * @param crashes the upstreams that ended under it, in the order in which they were heard of
- * @param sinceMillis when the first of them ended
- * @param cause whether it was found to be the cause
+ * @param request digest of the request
+ * @param crashes the crashes of upstreams at which it was in flight, in the order in which they were learned
+ * @param sinceMillis time of the first crash
+ * @param cause whether it was identified as the cause
  */
 public record SuspectedRequest(RequestDigest request, List<ReportedCrash> crashes, long sinceMillis, boolean cause) {
 
     /**
-     * An upstream that ended under a request.
+     * A crash of an upstream at which a request was in flight.
      *
-     * @param upstream the start of the upstream
-     * @param answerStarted whether it had sent some of the answer
-     * @param ageMillis how long ago, in milliseconds
+     * @param upstream the incarnation that crashed
+     * @param answerStarted whether it had sent part of the answer
+     * @param ageMillis time since the crash, in milliseconds
      */
     public record ReportedCrash(UpstreamId upstream, boolean answerStarted, long ageMillis) {}
 
-    /** Copies the list. */
+    /** Creates a snapshot with a copy of the list. */
     public SuspectedRequest {
         crashes = List.copyOf(crashes);
     }
@@ -32,7 +32,7 @@
     /**
      * Joins the names of the upstreams.
      *
-     * @return the starts that ended, with commas between
+     * @return the crashed incarnations, separated by commas
      */
     public String upstreams() {
         return crashes.stream().map(crash -> crash.upstream().toString()).collect(Collectors.joining(","));
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Trial.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/Trial.java
@@ -3,9 +3,9 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * A send of a suspected request that may still end its upstream.
+ * A trial of a suspected request: an attempt that runs alone in the fleet and may still crash its upstream.
  *
- * @param upstream where it was sent
- * @param endMillis when it is over in any case, as its time limit has passed
+ * @param upstream the upstream that runs it
+ * @param endMillis time at which it times out
  */
 record Trial(UpstreamId upstream, long endMillis) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/UpstreamCrashes.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/UpstreamCrashes.java
@@ -8,36 +8,42 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * When upstreams ended, and which requests were in flight there.
+ * The times at which upstreams crashed, and the requests that were in flight there.
  *
- * <p>A rack that loses power, or a release that goes wrong, takes several upstreams at one moment. No request can be
- * the cause of that which was not sent to all of them.
+ * <p>A power failure of a rack or a faulty release takes down several upstreams at the same time. A request that was
+ * not sent to all of them cannot be the cause.
  */
 final class UpstreamCrashes {
 
-    /** Ends that are remembered; with as many requests each as an upstream runs they take about a megabyte. */
+    /**
+     * Maximum number of crashes to remember. With the number of requests that an upstream runs concurrently, they take
+     * about a megabyte.
+     */
     static final int MAX_CRASHES = 1_000;
 
     /**
-     * Time between ends that have one cause, in milliseconds: routers hear of a lost rack within a few tens of
-     * milliseconds, and hosts are busy at that moment.
+     * Maximum time between crashes that are attributed to a common cause, in milliseconds. Routers detect the loss of a
+     * rack within a few tens of milliseconds, and hosts are busy at that time.
      */
     static final long SIMULTANEOUS_MILLIS = 150;
 
-    /** Upstreams lost together with one, without the request, from which on the request is not suspected of it. */
+    /**
+     * Number of other upstreams that crash at the same time without the request in flight from which on a crash does
+     * not count against the request.
+     */
     static final int MIN_OTHER_CRASHES = 2;
 
     private final Map<UpstreamId, CrashedUpstream> crashes = new LinkedHashMap<>();
 
     /**
-     * The end of one start of an upstream.
+     * The crash of one incarnation of an upstream.
      *
-     * @param atMillis when
-     * @param requests what was in flight there
+     * @param atMillis time of the crash
+     * @param requests requests that were in flight there
      */
     private record CrashedUpstream(long atMillis, Set<RequestDigest> requests) {}
 
-    /** Notes a request that was in flight at an upstream that ended. */
+    /** Records a request that was in flight at a crashed upstream. */
     void record(UpstreamId upstream, RequestDigest request, long atMillis) {
         crashes.computeIfAbsent(upstream, id -> new CrashedUpstream(atMillis, new HashSet<>()))
                 .requests()
@@ -47,7 +53,7 @@
         }
     }
 
-    /** Tells whether an upstream ended together with others at which a request was not in flight. */
+    /** Tells whether an upstream crashed at the same time as others at which a request was not in flight. */
     boolean crashedWithOthers(UpstreamId upstream, RequestDigest request) {
         CrashedUpstream crashed = crashes.get(upstream);
         if (crashed == null) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/suspect/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/suspect/package-info.java
@@ -1,2 +1,2 @@
-/** Recognises requests under which upstreams end, over all their repeats at all routers, and stops them. */
+/** Identifies and stops requests that crash upstreams, across all repeats at all routers. */
 package org.apricotstack.core.suspect;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScenario.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScenario.java
@@ -1,14 +1,14 @@
 package org.apricotstack.core.suspect;
 
 /**
- * What a seeded fleet is put through.
+ * A scenario for a simulated fleet.
  *
- * @param routers how many routers take callers
- * @param repeatIntervalMillis time between two repeats, in milliseconds
- * @param spread to which routers the repeats come
- * @param gossipMillis longest time that news take, in milliseconds
- * @param lostShare share of news that are lost until the next catch-up
- * @param faults what happens to routers meanwhile
+ * @param routers number of routers that accept requests
+ * @param repeatIntervalMillis time between two repeats of the request, in milliseconds
+ * @param spread the routers at which the repeats arrive
+ * @param gossipMillis maximum delay of a gossip message, in milliseconds
+ * @param lostShare share of gossip messages that are lost until the next full state
+ * @param faults the faults injected
  */
 record SuspectScenario(
         int routers,
@@ -18,23 +18,23 @@
         double lostShare,
         RouterFaults faults) {
 
-    /** To which routers the repeats of a request come. */
+    /** The routers at which the repeats of the request arrive. */
     enum Spread {
-        /** All come to one router. */
+        /** All arrive at one router. */
         ONE,
-        /** Each comes to all routers at the same moment. */
+        /** Each arrives at all routers at the same time. */
         ALL,
-        /** Each comes to a router that is chosen anew. */
+        /** Each arrives at a random router. */
         ANY
     }
 
-    /** What happens to routers. */
+    /** Faults injected into the routers. */
     enum RouterFaults {
-        /** Nothing. */
+        /** No faults. */
         NONE,
-        /** One after the other starts again with an empty table, and is told what another one knows. */
+        /** Routers restart one after the other with an empty table and receive the full state of the others. */
         RESTARTS,
-        /** Two halves do not hear of each other for some seconds, then tell each other all. */
+        /** The routers are partitioned into two halves for some seconds and exchange their full state afterwards. */
         SPLIT
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectScheduleTest.java
@@ -10,19 +10,21 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Routers that tell each other of a request that ends upstreams, in virtual time, with seeds. */
+/** Simulates routers that report a request that crashes upstreams to each other, in virtual time with several seeds. */
 class SuspectScheduleTest {
 
     private static final int SEEDS = 4;
     private static final long GOSSIP_MILLIS = 10;
 
-    /** Ends that have to be known before a request can be told to be the cause. */
+    /** Crashes that have to be known before a request can be identified as the cause. */
     private static final int CRASHES_TO_IDENTIFY = 3;
 
-    /** Sends after the third end that the users bear, as news take their time. */
+    /** Sends after the third crash that the requirements tolerate, as gossip messages take some time. */
     private static final int TOLERATED_SENDS = 3;
 
-    /** Time in which news of the third end reach all routers that can be reached, and a cause is named. */
+    /**
+     * Time in which the third crash is reported to all reachable routers and the cause is identified, in milliseconds.
+     */
     private static final long PROPAGATION_MILLIS = 100;
 
     static Stream<Arguments> repeats() {
@@ -40,14 +42,14 @@
                             seed)
                     .run();
             assertThat(simulation.sentAfterThirdEnd(PROPAGATION_MILLIS))
-                    .as("sent, seed %d", seed)
+                    .as("sends after the third crash, seed %d", seed)
                     .isZero();
             assertThat(simulation.otherRefusedRequests())
-                    .as("others refused, seed %d", seed)
+                    .as("other requests refused, seed %d", seed)
                     .isEmpty();
             if (spread != Spread.ALL) {
                 assertThat(simulation.crashCount())
-                        .as("ended, seed %d", seed)
+                        .as("upstreams that ended with a crash, seed %d", seed)
                         .isLessThanOrEqualTo(CRASHES_TO_IDENTIFY + TOLERATED_SENDS);
             }
         }
@@ -69,15 +71,15 @@
                             seed)
                     .run();
             assertThat(simulation.sentAfterThirdEnd(SuspectSimulation.SYNC_MILLIS))
-                    .as("sent, seed %d", seed)
+                    .as("sends after the third crash, seed %d", seed)
                     .isLessThanOrEqualTo(TOLERATED_SENDS);
             assertThat(simulation.otherRefusedRequests())
-                    .as("others refused, seed %d", seed)
+                    .as("other requests refused, seed %d", seed)
                     .isEmpty();
             if (lostShare == 0) {
                 int halves = faults == RouterFaults.SPLIT ? 2 : 1;
                 assertThat(simulation.crashCount())
-                        .as("ended, seed %d", seed)
+                        .as("upstreams that ended with a crash, seed %d", seed)
                         .isLessThanOrEqualTo(halves * CRASHES_TO_IDENTIFY + TOLERATED_SENDS);
             }
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectSimulation.java
@@ -12,16 +12,17 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Routers in virtual time that send requests to upstreams, of which one request ends each that begins to run it.
+ * Simulates routers in virtual time that send requests to upstreams, one of which crashes every upstream that runs it.
  *
- * <p>Routers, news and upstreams are modelled with their delays; what is decided is decided by {@link SuspectTable}.
+ * <p>Routers, gossip messages and upstreams are modelled with their delays; all decisions are made by {@link
+ * SuspectTable}.
  */
 final class SuspectSimulation {
 
-    /** Sends that one attempt of a caller may have. */
+    /** Maximum number of sends for one request of a caller. */
     static final int MAX_SENDS = 2;
 
-    /** Time after a start, or after the third end, from which a router is expected to know what the others know. */
+    /** Time after a start, or after the third crash, in which a router learns the full state, in milliseconds. */
     static final long SYNC_MILLIS = 3_000;
 
     private static final int UPSTREAMS = 14;
@@ -66,7 +67,7 @@
         return (long) (random.nextDouble() * millis);
     }
 
-    /** Plays until nothing is left to happen. */
+    /** Runs the simulation until no events are left. */
     SuspectSimulation run() {
         for (long atMillis = 1_000; atMillis < SIMULATED_MILLIS; atMillis += scenario.repeatIntervalMillis()) {
             at(atMillis, this::repeatRequest);
@@ -107,12 +108,12 @@
         new AttemptModel(request, router).send();
     }
 
-    /** Returns how many upstreams the request ended. */
+    /** Returns the number of upstreams that the request crashed. */
     int crashCount() {
         return crashesMillis.size();
     }
 
-    /** Returns how often routers that are in touch sent the request later than a time after the third end. */
+    /** Returns the sends by routers up for {@link #SYNC_MILLIS}, later than a time after the third crash. */
     long sentAfterThirdEnd(long millis) {
         return crashesMillis.size() < 3
                 ? 0
@@ -121,7 +122,7 @@
                         .count();
     }
 
-    /** Returns the other requests that were refused as if they ended upstreams. */
+    /** Returns the other requests that were refused as if they crashed upstreams. */
     Set<RequestDigest> otherRefusedRequests() {
         Set<RequestDigest> others = new LinkedHashSet<>(refused);
         others.remove(CAUSE);
@@ -136,7 +137,7 @@
                 && now() < SPLIT_UNTIL_MILLIS;
     }
 
-    /** A router with what it knows and what it has in flight. */
+    /** A simulated router with its suspects and its requests in flight. */
     private final class RouterModel {
         private final int place;
         private final Set<AttemptModel> inFlight = new LinkedHashSet<>();
@@ -155,7 +156,7 @@
             table = new SuspectTable(process, found -> {});
         }
 
-        /** Loses all that it knows and serves, and learns from the others what they know a little later. */
+        /** Restarts the router without state; the others send their full state a little later. */
         private void restart() {
             List.copyOf(inFlight).forEach(AttemptModel::finish);
             ProcessId previousProcess = process;
@@ -183,11 +184,10 @@
             if (other == this || isPartitioned(this, other)) {
                 return;
             }
-            for (SuspectedRequest suspicion : table.list(64, now())) {
-                suspicion
-                        .crashes()
-                        .forEach(told ->
-                                other.receiveCrash(suspicion.request(), told.upstream(), told.answerStarted(), null));
+            for (SuspectedRequest one : table.list(64, now())) {
+                one.crashes()
+                        .forEach(crash ->
+                                other.receiveCrash(one.request(), crash.upstream(), crash.answerStarted(), null));
             }
         }
 
@@ -217,7 +217,7 @@
         }
     }
 
-    /** One attempt of a caller at one router. */
+    /** A request of a caller at one router. */
     private final class AttemptModel {
         private final RequestDigest request;
         private final RouterModel router;
@@ -285,7 +285,7 @@
             return from.isEmpty() ? null : from.get(random.nextInt(from.size()));
         }
 
-        /** Takes in that the upstream ended; the router finds that out a little later. */
+        /** Handles a crash of the upstream, which the router detects a little later. */
         private void lost(UpstreamId start) {
             boolean hadStarted = answerStarted;
             releaseUpstream();
@@ -351,7 +351,7 @@
         }
     }
 
-    /** An upstream that starts again some seconds after it ended. */
+    /** An upstream that restarts some seconds after a crash. */
     private final class UpstreamModel {
         private final Set<AttemptModel> running = new LinkedHashSet<>();
         private UpstreamId id;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
@@ -20,7 +20,7 @@
     private static final RequestDigest CAUSE = new RequestDigest(1, 1);
     private static final RequestDigest OTHER = new RequestDigest(2, 2);
 
-    /** Time between two ends that have nothing to do with each other. */
+    /** Time between two unrelated crashes, in milliseconds. */
     private static final long UNRELATED_MILLIS = 1_000;
 
     private final List<SuspectedRequest> found = new ArrayList<>();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Lets upstreams end one after the other while requests are in flight that had got nothing of their answers. */
+    /** Lets upstreams crash one after the other while requests without any part of an answer are in flight. */
     private void crashUnrelated(int first, int last, RequestDigest... requests) {
         for (int number = first; number <= last; number++) {
             now += UNRELATED_MILLIS;
@@ -74,9 +74,8 @@
     }
 
     /**
-     * Symptom: a request that only was there is refused. Sequence: three upstreams end under two requests; the router
-     * asks about the second one before it has heard that a fourth had ended under the first. Cause: the judgement came
-     * before all that was in flight could be told.
+     * Guards against refusing a request that was merely in flight: three upstreams crashed under two requests, and the
+     * router identified the second one as the cause before it learned of a fourth crash under the first one.
      */
     @Test
     void waitsForGossipBeforeItIdentifiesACause() {
@@ -86,8 +85,8 @@
     }
 
     /**
-     * Symptom: prompts of others are refused after a crash of three engines. Sequence: they run on an engine, the cause
-     * ends it, they are sent again to the engine to which the cause is sent again. Cause: a plain count of ends.
+     * Guards against refusing prompts of others after the crash of three engines: they ran on the engine that the cause
+     * crashed, and were retried at the same engines as the cause, so that a mere count of crashes was the same for all.
      */
     @Test
     void doesNotSuspectARequestWhoseAnswerHadStartedEachTime() {
@@ -139,9 +138,9 @@
     }
 
     /**
-     * Symptom: requests are refused on a day on which racks lose power. Sequence: three engines at a time are lost at
-     * one moment, and a request meets three such moments. Cause: each end was counted, though no request can end an
-     * engine to which it was not sent.
+     * Guards against refusing requests after power failures of racks: a request was in flight at three racks of three
+     * engines that failed one after the other, and each crash was counted, although a request cannot crash engines to
+     * which it was not sent.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, UpstreamCrashes.SIMULTANEOUS_MILLIS / 2})
@@ -167,8 +166,8 @@
     }
 
     /**
-     * Symptom: a request goes on to end upstreams. Sequence: whenever it ends one, others end of other causes at the
-     * same moment. Cause: an end that may have another cause never counts.
+     * Guards against a request that keeps crashing upstreams because others crash of other causes at the same times, so
+     * that none of its crashes counts.
      */
     @Test
     void refusesARequestAfterSixCrashesThoughOthersWereSimultaneous() {
@@ -221,9 +220,9 @@
     }
 
     /**
-     * Symptom: five upstreams end in a tenth of a second. Sequence: five routers have the same request in flight; one
-     * sees its upstream end and tells the others, each of which takes the request back and sends it again at once.
-     * Cause: who hears of an end took the request for one that nobody tries.
+     * Guards against five crashes within a tenth of a second: five routers had the same request in flight, and when one
+     * of them reported a crash, each of the others cancelled its attempt and sent the request again at once, as no
+     * trial was known.
      */
     @Test
     void letsTheRouterThatObservedACrashContinueFirst() {
@@ -256,8 +255,8 @@
     }
 
     /**
-     * Symptom: a request that an upstream's new version would run is refused for ever, or one that still ends upstreams
-     * ends three of them each time that it is tried. Sequence: its refusal ends after a time, and it is tried once.
+     * Guards against refusing a request for ever that a new version of the upstream would run, and against three more
+     * crashes after each period of refusal: the request is sent once as a trial when the period ends.
      */
     @Test
     void retriesARefusedRequestOnceAfterATimeAndRefusesItAgainAfterACrash() {
@@ -282,8 +281,8 @@
     }
 
     /**
-     * Symptom: memory runs out, or a request that ends upstreams is forgotten. Sequence: an attacker sends any number
-     * of different requests each of which ends an upstream.
+     * Guards against running out of memory and against losing the record of a request that crashes upstreams: an
+     * attacker sends any number of different requests, each of which crashes an upstream.
      */
     @Test
     void evictsRequestsWithTheFewestCrashesFirst() {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/VirtualTime.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs what was planned in the order of its times, without waiting. */
+/** A simulated clock that runs scheduled actions in the order of their times, without waiting. */
 public final class VirtualTime {
 
     private final PriorityQueue<Event> events =
@@ -12,11 +12,11 @@
     private long number;
 
     /**
-     * Something that happens at a time.
+     * A scheduled action.
      *
-     * @param atMillis when
-     * @param number order of what happens at the same time
-     * @param action what happens
+     * @param atMillis time at which it runs
+     * @param number order among actions scheduled for the same time
+     * @param action the action
      */
     private record Event(long atMillis, long number, Runnable action) {}
 
@@ -24,12 +24,12 @@
         return nowMillis;
     }
 
-    /** Plans something; what would be in the past happens next. */
+    /** Schedules an action; actions scheduled for the past run next. */
     public void at(long millis, Runnable action) {
         events.add(new Event(Math.max(nowMillis, millis), number++, action));
     }
 
-    /** Runs until nothing is left to happen. */
+    /** Runs until no actions are left. */
     public void run() {
         while (!events.isEmpty()) {
             Event next = events.poll();
