--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
@@ -18,7 +18,7 @@
     public static final AdvertisedLimit UNREADABLE = new AdvertisedLimit(Kind.UNREADABLE, 0);
 
     /** Limit from which on it is read as none, in requests a second: no upstream takes as many. */
-    public static final double MOST_PER_SECOND = 100_000;
+    public static final double MAX_PER_SECOND = 100_000;
 
     private static final Pattern DECIMAL = Pattern.compile("\\d{1,30}(\\.\\d{0,30})?([eE][+-]?\\d{1,9})?");
 
@@ -56,6 +56,6 @@
         if (!readable) {
             return UNREADABLE;
         }
-        return least < MOST_PER_SECOND ? new AdvertisedLimit(Kind.PRESENT, least) : ABSENT;
+        return least < MAX_PER_SECOND ? new AdvertisedLimit(Kind.PRESENT, least) : ABSENT;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
@@ -13,9 +13,9 @@
 public final class LimitAdmission {
 
     private final LimitTable table;
-    private final PermitClient port;
+    private final PermitClient client;
     private final LongSupplier clockMillis;
-    private final PermitPool pool = new PermitPool();
+    private final PermitPool permits = new PermitPool();
     private final Map<UpstreamId, List<Consumer<Boolean>>> waiting = new HashMap<>();
 
     /**
@@ -25,9 +25,9 @@
      * @param port asks for permits
      * @param clockMillis the time, in milliseconds
      */
-    public LimitAdmission(LimitTable table, PermitClient port, LongSupplier clockMillis) {
+    public LimitAdmission(LimitTable table, PermitClient client, LongSupplier clockMillis) {
         this.table = table;
-        this.port = port;
+        this.client = client;
         this.clockMillis = clockMillis;
     }
 
@@ -49,7 +49,7 @@
      */
     public long opensMillis(UpstreamId upstream) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
-        return limit == null ? 0 : pool.opensMillis(upstream, limit, clockMillis.getAsLong());
+        return limit == null ? 0 : permits.opensMillis(upstream, limit, clockMillis.getAsLong());
     }
 
     /**
@@ -58,46 +58,51 @@
      * @param upstream the upstream
      * @param then takes whether it may be sent; called at once unless the limit's keeper is asked
      */
-    public void acquire(UpstreamId upstream, Consumer<Boolean> then) {
+    public void acquire(UpstreamId upstream, Consumer<Boolean> callback) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
         if (limit == null) {
-            then.accept(true);
+            callback.accept(true);
             return;
         }
         long now = clockMillis.getAsLong();
-        pool.want(upstream, now);
-        if (pool.take(upstream, now)) {
-            then.accept(true);
-        } else if (pool.opensMillis(upstream, limit, now) > 0) {
-            then.accept(false);
+        permits.recordDemand(upstream, now);
+        if (permits.take(upstream, now)) {
+            callback.accept(true);
+        } else if (permits.opensMillis(upstream, limit, now) > 0) {
+            callback.accept(false);
         } else {
-            ask(upstream, limit, then, now);
+            requestPermits(upstream, limit, callback, now);
         }
     }
 
     /** Asks for permits, or waits for the answer to a question that is under way. */
-    private void ask(UpstreamId upstream, RateLimit limit, Consumer<Boolean> then, long askedMillis) {
-        List<Consumer<Boolean>> others = waiting.get(upstream);
-        if (others != null) {
-            others.add(then);
+    private void requestPermits(
+            UpstreamId upstream, RateLimit limit, Consumer<Boolean> callback, long requestedMillis) {
+        List<Consumer<Boolean>> waitingForSameUpstream = waiting.get(upstream);
+        if (waitingForSameUpstream != null) {
+            waitingForSameUpstream.add(callback);
             return;
         }
-        waiting.put(upstream, new ArrayList<>(List.of(then)));
-        port.ask(upstream, limit, pool.wanted(upstream), grant -> answered(upstream, limit, grant, askedMillis));
+        waiting.put(upstream, new ArrayList<>(List.of(callback)));
+        client.ask(
+                upstream,
+                limit,
+                permits.permitsToRequest(upstream),
+                grant -> permitsReceived(upstream, limit, grant, requestedMillis));
     }
 
     /** Takes an answer in and lets requests pass, as many as have permits now. */
-    private void answered(UpstreamId upstream, RateLimit asked, PermitGrant grant, long askedMillis) {
+    private void permitsReceived(UpstreamId upstream, RateLimit requested, PermitGrant grant, long requestedMillis) {
         long now = clockMillis.getAsLong();
         RateLimit known = table.find(upstream);
-        RateLimit limit = known == null ? asked : known;
+        RateLimit limit = known == null ? requested : known;
         if (grant == null) {
-            pool.unanswered(upstream, limit, now);
+            permits.issuerUnavailable(upstream, limit, now);
         } else {
-            pool.granted(upstream, limit, grant, askedMillis, now);
+            permits.granted(upstream, limit, grant, requestedMillis, now);
         }
-        for (Consumer<Boolean> then : waiting.remove(upstream)) {
-            then.accept(!isLimited(upstream) || pool.take(upstream, now));
+        for (Consumer<Boolean> callback : waiting.remove(upstream)) {
+            callback.accept(!isLimited(upstream) || permits.take(upstream, now));
         }
     }
 
@@ -109,12 +114,12 @@
     public void charge(UpstreamId upstream) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
         if (limit != null) {
-            port.charge(upstream, limit, 1);
+            client.charge(upstream, limit, 1);
         }
     }
 
     /** Forgets upstreams that are not limited any more. */
     public void expire() {
-        pool.retain(table);
+        permits.retain(table);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
@@ -20,7 +20,7 @@
     private static final long UNLISTED_MILLIS = 60_000;
 
     /** Ends that are remembered, so that older news do not bring the limit back. */
-    private static final int MOST_ENDS = 1_000;
+    private static final int MAX_ENDS = 1_000;
 
     private final Map<UpstreamId, RateLimit> limits = new HashMap<>();
     private final Map<UpstreamId, Long> endsMillis = new LinkedHashMap<>();
@@ -34,16 +34,17 @@
      * @param nowMillis when the answer came
      * @return what changed
      */
-    public LimitChange answerReceived(UpstreamId upstream, AdvertisedLimit stated, long sentMillis, long nowMillis) {
-        return switch (stated.kind()) {
+    public LimitChange answerReceived(
+            UpstreamId upstream, AdvertisedLimit advertised, long sentMillis, long nowMillis) {
+        return switch (advertised.kind()) {
             case ABSENT -> ended(upstream, sentMillis);
             case UNREADABLE -> LimitChange.NONE;
-            case PRESENT -> stated(upstream, stated.perSecond(), sentMillis, nowMillis);
+            case PRESENT -> advertised(upstream, advertised.perSecond(), sentMillis, nowMillis);
         };
     }
 
     /** Takes a limit in that an answer names. */
-    private LimitChange stated(UpstreamId upstream, double perSecond, long sentMillis, long nowMillis) {
+    private LimitChange advertised(UpstreamId upstream, double perSecond, long sentMillis, long nowMillis) {
         RateLimit before = limits.get(upstream);
         if (before != null && perSecond > before.perSecond() && sentMillis <= before.advertisedMillis()) {
             return LimitChange.NONE;
@@ -58,12 +59,12 @@
      * @param told the limit, with the time at which that router read it
      * @return what changed
      */
-    public LimitChange reportedByPeer(UpstreamId upstream, RateLimit told) {
+    public LimitChange reportedByPeer(UpstreamId upstream, RateLimit reported) {
         RateLimit before = limits.get(upstream);
-        boolean older = before == null
-                ? told.advertisedMillis() <= endsMillis.getOrDefault(upstream, Long.MIN_VALUE)
-                : told.advertisedMillis() <= before.advertisedMillis();
-        return older ? LimitChange.NONE : put(upstream, told, before);
+        boolean outdated = before == null
+                ? reported.advertisedMillis() <= endsMillis.getOrDefault(upstream, Long.MIN_VALUE)
+                : reported.advertisedMillis() <= before.advertisedMillis();
+        return outdated ? LimitChange.NONE : put(upstream, reported, before);
     }
 
     /** Notes a limit. */
@@ -90,7 +91,7 @@
         }
         limits.remove(upstream);
         endsMillis.put(upstream, atMillis);
-        if (endsMillis.size() > MOST_ENDS) {
+        if (endsMillis.size() > MAX_ENDS) {
             endsMillis.remove(endsMillis.keySet().iterator().next());
         }
         return LimitChange.ENDED;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
@@ -15,7 +15,7 @@
      * @param wanted permits that can be used soon
      * @param then takes the answer, at once or a little later; {@code null} if there is none
      */
-    void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then);
+    void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback);
 
     /**
      * Tells of requests that were sent without a permit, as they could not be left out.
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitKeeper.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuer.java
@@ -14,10 +14,10 @@
  * <p>Routers that get no permit are told when to come back, one after the other, so that a small limit in a large fleet
  * is not asked for by all routers at each permit.
  */
-public final class LimitKeeper {
+public final class PermitIssuer {
 
     /** Least rate, in requests a second: an upstream that gets no request could never say that it has recovered. */
-    public static final double LEAST_PER_SECOND = 0.1;
+    public static final double MIN_PER_SECOND = 0.1;
 
     /** Permits that add up while nobody asks: with fewer, a small limit is not used up between chance arrivals. */
     private static final double BURST_PERMITS = 2;
@@ -26,51 +26,51 @@
     private static final double BURST_SECONDS = 0.25;
 
     /** Rate that is withheld when this router begins to keep a limit, in seconds; another may have kept it so far. */
-    private static final double START_SECONDS = 1;
+    private static final double INITIAL_DEBT_SECONDS = 1;
 
     /** Most that requests without a permit may take in advance, in seconds of the rate. */
-    private static final double MOST_DEBT_SECONDS = 4;
+    private static final double MAX_DEBT_SECONDS = 4;
 
     /** Routers that are told to come back for each permit; some of them have no request by then. */
-    private static final double VISITS_PER_PERMIT = 4;
+    private static final double RETRIES_PER_PERMIT = 4;
 
     /** Least time between two of them, in milliseconds. */
-    private static final double LEAST_VISIT_MILLIS = 10;
+    private static final double MIN_RETRY_SPACING_MILLIS = 10;
 
     /** Longest time after which a router is told to come back, in milliseconds. */
-    private static final long MOST_AGAIN_MILLIS = 5_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
 
     /** Shortest time after which a router is told to come back, in milliseconds. */
-    private static final long LEAST_AGAIN_MILLIS = 5;
+    private static final long MIN_RETRY_AFTER_MILLIS = 5;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final Map<UpstreamId, Account> accounts = new HashMap<>();
+    private final Map<UpstreamId, PermitBalance> balances = new HashMap<>();
 
     /** What may still be sent to one upstream. */
-    private static final class Account {
+    private static final class PermitBalance {
         private double permits;
-        private long countedMillis;
-        private double nextVisitMillis;
+        private long accruedUntilMillis;
+        private double nextRetryMillis;
 
         /** Opens an account from which nothing may be taken for a while. */
-        private Account(double perSecond, long nowMillis) {
-            this.permits = -START_SECONDS * perSecond;
-            this.countedMillis = nowMillis;
+        private PermitBalance(double perSecond, long nowMillis) {
+            this.permits = -INITIAL_DEBT_SECONDS * perSecond;
+            this.accruedUntilMillis = nowMillis;
         }
 
         /** Adds what the time since the last count brings. */
-        private void count(double perSecond, long nowMillis) {
-            double gained = Math.max(0, nowMillis - countedMillis) / MILLIS_PER_SECOND * perSecond;
-            permits = Math.min(BURST_PERMITS + BURST_SECONDS * perSecond, permits + gained);
-            countedMillis = Math.max(countedMillis, nowMillis);
+        private void accrue(double perSecond, long nowMillis) {
+            double accrued = Math.max(0, nowMillis - accruedUntilMillis) / MILLIS_PER_SECOND * perSecond;
+            permits = Math.min(BURST_PERMITS + BURST_SECONDS * perSecond, permits + accrued);
+            accruedUntilMillis = Math.max(accruedUntilMillis, nowMillis);
         }
 
         /** Takes whole permits. */
         private int take(int wanted) {
-            int taken = (int) Math.max(0, Math.min(wanted, Math.floor(permits)));
-            permits -= taken;
-            return taken;
+            int granted = (int) Math.max(0, Math.min(wanted, Math.floor(permits)));
+            permits -= granted;
+            return granted;
         }
 
         /** Returns the time after which the next router should come back, in milliseconds. */
@@ -79,11 +79,11 @@
                 return 0;
             }
             double readyMillis = nowMillis + (1 - permits) / perSecond * MILLIS_PER_SECOND;
-            double visitMillis = Math.max(readyMillis, nextVisitMillis);
-            nextVisitMillis = Math.min(visitMillis, nowMillis + MOST_AGAIN_MILLIS)
-                    + Math.max(LEAST_VISIT_MILLIS, MILLIS_PER_SECOND / (VISITS_PER_PERMIT * perSecond));
-            double again = Math.ceil(visitMillis - nowMillis);
-            return (long) Math.max(LEAST_AGAIN_MILLIS, Math.min(MOST_AGAIN_MILLIS, again));
+            double retryMillis = Math.max(readyMillis, nextRetryMillis);
+            nextRetryMillis = Math.min(retryMillis, nowMillis + MAX_RETRY_AFTER_MILLIS)
+                    + Math.max(MIN_RETRY_SPACING_MILLIS, MILLIS_PER_SECOND / (RETRIES_PER_PERMIT * perSecond));
+            double again = Math.ceil(retryMillis - nowMillis);
+            return (long) Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, again));
         }
     }
 
@@ -99,9 +99,9 @@
      */
     public PermitGrant grant(UpstreamId upstream, double perSecond, double share, int wanted, long nowMillis) {
         double rate = rate(perSecond, share);
-        Account account = account(upstream, rate, nowMillis);
-        int granted = account.take(wanted);
-        return new PermitGrant(granted, account.againMillis(rate, nowMillis));
+        PermitBalance balance = balance(upstream, rate, nowMillis);
+        int granted = balance.take(wanted);
+        return new PermitGrant(granted, balance.againMillis(rate, nowMillis));
     }
 
     /**
@@ -115,20 +115,20 @@
      */
     public void charge(UpstreamId upstream, double perSecond, double share, int requests, long nowMillis) {
         double rate = rate(perSecond, share);
-        Account account = account(upstream, rate, nowMillis);
-        account.permits = Math.max(-Math.max(1, MOST_DEBT_SECONDS * rate), account.permits - requests);
+        PermitBalance balance = balance(upstream, rate, nowMillis);
+        balance.permits = Math.max(-Math.max(1, MAX_DEBT_SECONDS * rate), balance.permits - requests);
     }
 
     /** Returns the rate that is granted here. */
     private static double rate(double perSecond, double share) {
-        return Math.max(LEAST_PER_SECOND, perSecond) * share;
+        return Math.max(MIN_PER_SECOND, perSecond) * share;
     }
 
     /** Returns the account of an upstream as it is now. */
-    private Account account(UpstreamId upstream, double rate, long nowMillis) {
-        Account account = accounts.computeIfAbsent(upstream, id -> new Account(rate, nowMillis));
-        account.count(rate, nowMillis);
-        return account;
+    private PermitBalance balance(UpstreamId upstream, double rate, long nowMillis) {
+        PermitBalance balance = balances.computeIfAbsent(upstream, id -> new PermitBalance(rate, nowMillis));
+        balance.accrue(rate, nowMillis);
+        return balance;
     }
 
     /**
@@ -137,8 +137,8 @@
      * @param limits the limits that hold
      */
     public void retain(LimitTable limits) {
-        if (!accounts.isEmpty()) {
-            accounts.keySet().removeIf(upstream -> limits.find(upstream) == null);
+        if (!balances.isEmpty()) {
+            balances.keySet().removeIf(upstream -> limits.find(upstream) == null);
         }
     }
 
@@ -148,6 +148,6 @@
      * @return upstreams
      */
     public int size() {
-        return accounts.size();
+        return balances.size();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelector.java
@@ -21,12 +21,12 @@
      * Chooses the keeper.
      *
      * @param upstream the limited upstream
-     * @param inTouch routers that decide on requests and were heard lately, this one too if it decides
+     * @param connected routers that decide on requests and were heard lately, this one too if it decides
      * @param silent how many others were heard deciding before and are silent now
      * @return the choice
      */
-    public static PermitIssuerSelector of(UpstreamId upstream, List<HostId> inTouch, int silent) {
-        double share = inTouch.isEmpty() ? 0 : (double) inTouch.size() / (inTouch.size() + silent);
-        return new PermitIssuerSelector(Rendezvous.first(upstream.value(), inTouch), share);
+    public static PermitIssuerSelector of(UpstreamId upstream, List<HostId> connected, int silent) {
+        double share = connected.isEmpty() ? 0 : (double) connected.size() / (connected.size() + silent);
+        return new PermitIssuerSelector(Rendezvous.first(upstream.value(), connected), share);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
@@ -10,13 +10,13 @@
 public final class PermitIssuerService {
 
     /** Time after which a router that asked the wrong one asks again, in milliseconds; both hear of more till then. */
-    private static final long NOT_HERE_MILLIS = 200;
+    private static final long NOT_ISSUER_RETRY_MILLIS = 200;
 
     private final HostId own;
     private final LimitTable table;
-    private final Function<UpstreamId, PermitIssuerSelector> choice;
+    private final Function<UpstreamId, PermitIssuerSelector> selector;
     private final LongSupplier clockMillis;
-    private final LimitKeeper keeper = new LimitKeeper();
+    private final PermitIssuer permitIssuer = new PermitIssuer();
 
     /**
      * Creates a part that has kept no limit.
@@ -27,10 +27,13 @@
      * @param clockMillis the time, in milliseconds
      */
     public PermitIssuerService(
-            HostId own, LimitTable table, Function<UpstreamId, PermitIssuerSelector> choice, LongSupplier clockMillis) {
+            HostId own,
+            LimitTable table,
+            Function<UpstreamId, PermitIssuerSelector> selector,
+            LongSupplier clockMillis) {
         this.own = own;
         this.table = table;
-        this.choice = choice;
+        this.selector = selector;
         this.clockMillis = clockMillis;
     }
 
@@ -41,7 +44,7 @@
      * @return the keeper as this router sees it
      */
     public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
-        return choice.apply(upstream);
+        return selector.apply(upstream);
     }
 
     /**
@@ -50,8 +53,8 @@
      * @param kept the keeper as this router sees it
      * @return whether it is this one
      */
-    public boolean isThisRouter(PermitIssuerSelector kept) {
-        return own.equals(kept.host());
+    public boolean isThisRouter(PermitIssuerSelector issuer) {
+        return own.equals(issuer.host());
     }
 
     /**
@@ -63,26 +66,26 @@
      * @return the permits
      */
     public PermitGrant answer(UpstreamId upstream, int wanted, int charged) {
-        PermitIssuerSelector kept = choice.apply(upstream);
+        PermitIssuerSelector issuer = selector.apply(upstream);
         RateLimit limit = table.find(upstream);
         if (limit == null) {
             return new PermitGrant(0, 0);
         }
-        if (!isThisRouter(kept)) {
-            return new PermitGrant(0, NOT_HERE_MILLIS);
+        if (!isThisRouter(issuer)) {
+            return new PermitGrant(0, NOT_ISSUER_RETRY_MILLIS);
         }
         long now = clockMillis.getAsLong();
         if (charged > 0) {
-            keeper.charge(upstream, limit.perSecond(), kept.share(), charged, now);
+            permitIssuer.charge(upstream, limit.perSecond(), issuer.share(), charged, now);
         }
         return wanted == 0
                 ? new PermitGrant(0, 0)
-                : keeper.grant(upstream, limit.perSecond(), kept.share(), wanted, now);
+                : permitIssuer.grant(upstream, limit.perSecond(), issuer.share(), wanted, now);
     }
 
     /** Forgets upstreams that are not limited any more. */
     public void expire() {
-        keeper.retain(table);
+        permitIssuer.retain(table);
     }
 
     /**
@@ -91,6 +94,6 @@
      * @return upstreams
      */
     public int issuedLimits() {
-        return keeper.size();
+        return permitIssuer.size();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
@@ -9,51 +9,51 @@
 public final class PermitPool {
 
     /** Time for which a permit may be used, in milliseconds from the question. */
-    static final long PERMIT_MILLIS = 1_000;
+    static final long PERMIT_VALID_MILLIS = 1_000;
 
     /** Time whose requests one question covers, in seconds. */
-    private static final double COVERED_SECONDS = 0.5;
+    private static final double DEMAND_COVERAGE_SECONDS = 0.5;
 
     /** Permits that are asked for at once, at most. */
-    private static final int MOST_WANTED = 64;
+    private static final int MAX_REQUESTED = 64;
 
     /** Time over which the demand is counted, in milliseconds. */
-    private static final long DEMAND_MILLIS = 1_000;
+    private static final long DEMAND_WINDOW_MILLIS = 1_000;
 
     /** Shortest time for which a keeper that granted nothing is not asked, in milliseconds. */
-    private static final long LEAST_CLOSED_MILLIS = 20;
+    private static final long MIN_CLOSED_MILLIS = 20;
 
     /** Time for which a keeper that did not answer is not asked, in milliseconds. */
     private static final long UNANSWERED_MILLIS = 300;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final Map<UpstreamId, Held> held = new HashMap<>();
+    private final Map<UpstreamId, UpstreamPermits> byUpstream = new HashMap<>();
 
     /** What is held for one upstream. */
-    private static final class Held {
+    private static final class UpstreamPermits {
         private int permits;
         private long untilMillis;
         private long closedUntilMillis;
         private double closedAtPerSecond;
         private int demand;
-        private int demandBefore;
-        private long demandFromMillis;
+        private int previousDemand;
+        private long windowStartMillis;
 
         /** Counts a request that could be sent there. */
-        private void want(long nowMillis) {
-            long passed = nowMillis - demandFromMillis;
-            if (passed >= DEMAND_MILLIS) {
-                demandBefore = passed < 2 * DEMAND_MILLIS ? demand : 0;
+        private void recordDemand(long nowMillis) {
+            long elapsed = nowMillis - windowStartMillis;
+            if (elapsed >= DEMAND_WINDOW_MILLIS) {
+                previousDemand = elapsed < 2 * DEMAND_WINDOW_MILLIS ? demand : 0;
                 demand = 0;
-                demandFromMillis = nowMillis;
+                windowStartMillis = nowMillis;
             }
             demand++;
         }
 
         /** Returns the requests that could be sent there, a second. */
         private double perSecond() {
-            return Math.max(demand, demandBefore) * MILLIS_PER_SECOND / DEMAND_MILLIS;
+            return Math.max(demand, previousDemand) * MILLIS_PER_SECOND / DEMAND_WINDOW_MILLIS;
         }
 
         /** Tells whether the keeper need not be asked; a limit that was raised opens it. */
@@ -69,8 +69,8 @@
     }
 
     /** Returns what is held for an upstream. */
-    private Held held(UpstreamId upstream) {
-        return held.computeIfAbsent(upstream, id -> new Held());
+    private UpstreamPermits permitsOf(UpstreamId upstream) {
+        return byUpstream.computeIfAbsent(upstream, id -> new UpstreamPermits());
     }
 
     /**
@@ -79,8 +79,8 @@
      * @param upstream the limited upstream
      * @param nowMillis the time
      */
-    public void want(UpstreamId upstream, long nowMillis) {
-        held(upstream).want(nowMillis);
+    public void recordDemand(UpstreamId upstream, long nowMillis) {
+        permitsOf(upstream).recordDemand(nowMillis);
     }
 
     /**
@@ -91,11 +91,11 @@
      * @return whether there was one
      */
     public boolean take(UpstreamId upstream, long nowMillis) {
-        Held one = held(upstream);
-        if (one.permits == 0 || nowMillis >= one.untilMillis) {
+        UpstreamPermits held = permitsOf(upstream);
+        if (held.permits == 0 || nowMillis >= held.untilMillis) {
             return false;
         }
-        one.permits--;
+        held.permits--;
         return true;
     }
 
@@ -108,10 +108,10 @@
      * @return milliseconds; 0 if one is held, or may be asked for
      */
     public long opensMillis(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        Held one = held.get(upstream);
+        UpstreamPermits held = byUpstream.get(upstream);
         boolean closed =
-                one != null && one.isClosed(limit, nowMillis) && (one.permits == 0 || nowMillis >= one.untilMillis);
-        return closed ? one.closedUntilMillis - nowMillis : 0;
+                held != null && held.isClosed(limit, nowMillis) && (held.permits == 0 || nowMillis >= held.untilMillis);
+        return closed ? held.closedUntilMillis - nowMillis : 0;
     }
 
     /**
@@ -120,9 +120,9 @@
      * @param upstream the limited upstream
      * @return permits, one at least
      */
-    public int wanted(UpstreamId upstream) {
-        double soon = held(upstream).perSecond() * COVERED_SECONDS;
-        return (int) Math.max(1, Math.min(MOST_WANTED, Math.floor(soon)));
+    public int permitsToRequest(UpstreamId upstream) {
+        double expectedDemand = permitsOf(upstream).perSecond() * DEMAND_COVERAGE_SECONDS;
+        return (int) Math.max(1, Math.min(MAX_REQUESTED, Math.floor(expectedDemand)));
     }
 
     /**
@@ -131,19 +131,18 @@
      * @param upstream the limited upstream
      * @param limit its limit
      * @param grant the answer of its keeper
-     * @param askedMillis when it was asked
+     * @param requestedMillis when it was asked
      * @param nowMillis the time
      */
-    public void granted(UpstreamId upstream, RateLimit limit, PermitGrant grant, long askedMillis, long nowMillis) {
-        Held one = held(upstream);
+    public void granted(UpstreamId upstream, RateLimit limit, PermitGrant grant, long requestedMillis, long nowMillis) {
+        UpstreamPermits held = permitsOf(upstream);
         if (grant.permits() > 0) {
-            int left = nowMillis < one.untilMillis ? one.permits : 0;
-            one.permits = left + grant.permits();
-            one.untilMillis = askedMillis + PERMIT_MILLIS;
+            int remaining = nowMillis < held.untilMillis ? held.permits : 0;
+            held.permits = remaining + grant.permits();
+            held.untilMillis = requestedMillis + PERMIT_VALID_MILLIS;
         }
-        long againMillis =
-                grant.permits() > 0 ? grant.againMillis() : Math.max(LEAST_CLOSED_MILLIS, grant.againMillis());
-        one.close(limit, againMillis, nowMillis);
+        long againMillis = grant.permits() > 0 ? grant.againMillis() : Math.max(MIN_CLOSED_MILLIS, grant.againMillis());
+        held.close(limit, againMillis, nowMillis);
     }
 
     /**
@@ -153,8 +152,8 @@
      * @param limit its limit
      * @param nowMillis the time
      */
-    public void unanswered(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        held(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
+    public void issuerUnavailable(UpstreamId upstream, RateLimit limit, long nowMillis) {
+        permitsOf(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
     }
 
     /**
@@ -163,8 +162,8 @@
      * @param limits the limits that hold
      */
     public void retain(LimitTable limits) {
-        if (!held.isEmpty()) {
-            held.keySet().removeIf(upstream -> limits.find(upstream) == null);
+        if (!byUpstream.isEmpty()) {
+            byUpstream.keySet().removeIf(upstream -> limits.find(upstream) == null);
         }
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
@@ -17,13 +17,14 @@
      * Tells whether a request may wait.
      *
      * @param opensMillis time until an upstream opens, in milliseconds
-     * @param passedMillis how long ago the request arrived, in milliseconds
+     * @param elapsedMillis how long ago the request arrived, in milliseconds
      * @param targetMillis its target latency, in milliseconds
      * @param waiting requests that wait at this router already
      * @param closed upstreams that are closed; one request waits for each
      * @return whether it may; otherwise it is refused at once
      */
-    public static boolean isAllowed(long opensMillis, long passedMillis, long targetMillis, int waiting, int closed) {
-        return passedMillis + opensMillis < targetMillis / WAIT_DIVISOR && waiting < closed;
+    public static boolean isAllowed(
+            long opensMillis, long elapsedMillis, long targetMillis, int waiting, int closedUpstreams) {
+        return elapsedMillis + opensMillis < targetMillis / WAIT_DIVISOR && waiting < closedUpstreams;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
@@ -14,9 +14,9 @@
     private static final UpstreamId UPSTREAM = new UpstreamId("upstream", 1);
 
     private final LimitTable table = new LimitTable();
-    private final List<Consumer<PermitGrant>> asked = new ArrayList<>();
-    private final List<Boolean> passed = new ArrayList<>();
-    private int wanted;
+    private final List<Consumer<PermitGrant>> requests = new ArrayList<>();
+    private final List<Boolean> admitted = new ArrayList<>();
+    private int permitsRequested;
     private int charged;
     private long nowMillis = 10_000;
 
@@ -25,8 +25,8 @@
             new PermitClient() {
                 @Override
                 public void ask(UpstreamId upstream, RateLimit limit, int permits, Consumer<PermitGrant> then) {
-                    asked.add(then);
-                    wanted = permits;
+                    requests.add(then);
+                    permitsRequested = permits;
                 }
 
                 @Override
@@ -36,107 +36,107 @@
             },
             () -> nowMillis);
 
-    private void name(double perSecond) {
+    private void advertise(double perSecond) {
         table.answerReceived(
                 UPSTREAM, new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond), nowMillis - 1, nowMillis);
     }
 
     private void acquire(int requests) {
         for (int i = 0; i < requests; i++) {
-            admission.acquire(UPSTREAM, passed::add);
+            admission.acquire(UPSTREAM, admitted::add);
         }
     }
 
     @Test
-    void letsRequestsPassWithoutAQuestionWhileNoLimitIsNamed() {
+    void admitsRequestsWithoutPermitsWhileNoLimitIsAdvertised() {
         acquire(3);
         admission.charge(UPSTREAM);
-        assertThat(passed).containsExactly(true, true, true);
-        assertThat(asked).isEmpty();
+        assertThat(admitted).containsExactly(true, true, true);
+        assertThat(requests).isEmpty();
         assertThat(charged).isZero();
     }
 
     @Test
-    void asksOnceForRequestsThatComeTogetherAndLetsAsManyPassAsWereGranted() {
-        name(1);
+    void requestsPermitsOnceForConcurrentRequestsAndAdmitsAsManyAsGranted() {
+        advertise(1);
         acquire(3);
-        assertThat(asked).hasSize(1);
-        asked.get(0).accept(new PermitGrant(1, 700));
-        assertThat(passed).containsExactly(true, false, false);
+        assertThat(requests).hasSize(1);
+        requests.get(0).accept(new PermitGrant(1, 700));
+        assertThat(admitted).containsExactly(true, false, false);
         assertThat(admission.opensMillis(UPSTREAM)).isEqualTo(700);
         acquire(1);
-        assertThat(passed).endsWith(false);
-        assertThat(asked).hasSize(1);
+        assertThat(admitted).endsWith(false);
+        assertThat(requests).hasSize(1);
     }
 
     @Test
-    void asksAgainOnceThatMayBeOfUse() {
-        name(1);
+    void requestsPermitsAgainAfterTheRetryTime() {
+        advertise(1);
         acquire(1);
-        asked.get(0).accept(new PermitGrant(0, 700));
+        requests.get(0).accept(new PermitGrant(0, 700));
         nowMillis += 700;
         assertThat(admission.opensMillis(UPSTREAM)).isZero();
         acquire(1);
-        assertThat(asked).hasSize(2);
+        assertThat(requests).hasSize(2);
     }
 
     @Test
-    void asksAgainAtOnceWhenTheLimitIsRaised() {
-        name(1);
+    void requestsPermitsAgainAtOnceWhenTheLimitIsRaised() {
+        advertise(1);
         acquire(1);
-        asked.get(0).accept(new PermitGrant(0, 5_000));
+        requests.get(0).accept(new PermitGrant(0, 5_000));
         nowMillis += 10;
-        name(2);
+        advertise(2);
         assertThat(admission.opensMillis(UPSTREAM)).isZero();
     }
 
     @Test
-    void letsNothingPassWhileTheKeeperDoesNotAnswer() {
-        name(1);
+    void admitsNothingWhileTheIssuerDoesNotRespond() {
+        advertise(1);
         acquire(2);
-        asked.get(0).accept(null);
-        assertThat(passed).containsExactly(false, false);
+        requests.get(0).accept(null);
+        assertThat(admitted).containsExactly(false, false);
         assertThat(admission.opensMillis(UPSTREAM)).isPositive();
     }
 
     @Test
-    void keepsPermitsThatWereNotUsedForAShortTimeOnly() {
-        name(100);
+    void expiresUnusedPermitsAfterAShortTime() {
+        advertise(100);
         acquire(1);
-        asked.get(0).accept(new PermitGrant(3, 0));
+        requests.get(0).accept(new PermitGrant(3, 0));
         nowMillis += 500;
         acquire(1);
-        assertThat(asked).hasSize(1);
+        assertThat(requests).hasSize(1);
         nowMillis += 500;
         acquire(1);
-        assertThat(asked).hasSize(2);
-        assertThat(passed).containsExactly(true, true);
+        assertThat(requests).hasSize(2);
+        assertThat(admitted).containsExactly(true, true);
     }
 
     @Test
-    void asksForAsManyPermitsAsItCanUseSoon() {
-        name(100);
+    void requestsAsManyPermitsAsItCanUseSoon() {
+        advertise(100);
         for (int i = 0; i < 40; i++) {
             acquire(1);
-            asked.get(asked.size() - 1).accept(new PermitGrant(1, 0));
+            requests.get(requests.size() - 1).accept(new PermitGrant(1, 0));
             nowMillis += 25;
         }
         acquire(1);
-        assertThat(wanted).isBetween(18, 21);
+        assertThat(permitsRequested).isBetween(18, 21);
     }
 
     @Test
-    void letsRequestsPassThatWaitWhenTheLimitEnds() {
-        name(1);
+    void admitsWaitingRequestsWhenTheLimitEnds() {
+        advertise(1);
         acquire(2);
         table.ended(UPSTREAM, nowMillis + 1);
-        asked.get(0).accept(new PermitGrant(0, 200));
-        assertThat(passed).containsExactly(true, true);
+        requests.get(0).accept(new PermitGrant(0, 200));
+        assertThat(admitted).containsExactly(true, true);
     }
 
     @Test
-    void tellsOfRequestsThatCannotBeLeftOut() {
-        name(1);
+    void reportsRequestsSentWithoutAPermit() {
+        advertise(1);
         admission.charge(UPSTREAM);
         assertThat(charged).isEqualTo(1);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScenario.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScenario.java
@@ -6,12 +6,17 @@
  * @param routers routers that decide on requests
  * @param perSecond the limit
  * @param demandPerSecond requests that could be sent to the upstream, from all routers together
- * @param atOne whether all requests come to one router
+ * @param atOneRouter whether all requests come to one router
  * @param lostShare share of the messages between routers that are lost
  * @param faults what happens to routers
  */
 record LimitScenario(
-        int routers, double perSecond, double demandPerSecond, boolean atOne, double lostShare, RouterFaults faults) {
+        int routers,
+        double perSecond,
+        double demandPerSecond,
+        boolean atOneRouter,
+        double lostShare,
+        RouterFaults faults) {
 
     /** What happens to routers. */
     enum RouterFaults {
@@ -31,6 +36,6 @@
     }
 
     LimitScenario with(double lost, RouterFaults happening) {
-        return new LimitScenario(routers, perSecond, demandPerSecond, atOne, lost, happening);
+        return new LimitScenario(routers, perSecond, demandPerSecond, atOneRouter, lost, happening);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScheduleTest.java
@@ -14,21 +14,21 @@
 class LimitScheduleTest {
 
     private static final int SEEDS = 4;
-    private static final double DEMAND_TIMES = 3;
+    private static final double DEMAND_FACTOR = 3;
 
     /** Limit's time whose requests may come in four seconds, in seconds, and requests beyond it. */
-    private static final double ALLOWED_SECONDS = 4.5;
+    private static final double MAX_LIMIT_SECONDS = 4.5;
 
-    private static final int BURST = 3;
+    private static final int MAX_BURST = 3;
 
     /** Share of a limit that is used while there is demand. */
-    private static final double LEAST_USED = 0.8;
+    private static final double MIN_USED_SHARE = 0.8;
 
     static Stream<LimitScenario> scenarios() {
         List<LimitScenario> scenarios = new ArrayList<>();
         for (int routers : new int[] {1, 7, 20, 95}) {
             for (double perSecond : new double[] {0.3, 1, 1.7, 10, 100}) {
-                LimitScenario calm = LimitScenario.calm(routers, perSecond, DEMAND_TIMES);
+                LimitScenario calm = LimitScenario.calm(routers, perSecond, DEMAND_FACTOR);
                 scenarios.add(calm);
                 scenarios.add(calm.withDemandAtOneRouter());
                 if (routers > 1) {
@@ -43,17 +43,17 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void sendsNoMoreThanTheLimitAndUsesMostOfIt(LimitScenario scenario) {
+    void staysWithinTheLimitAndUsesMostOfIt(LimitScenario scenario) {
         double used = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            SeededLimits play = new SeededLimits(scenario, seed).play();
-            assertThat(play.worstArrivals())
+            LimitSimulation simulation = new LimitSimulation(scenario, seed).run();
+            assertThat(simulation.maxArrivals())
                     .as("requests in four seconds, seed %d", seed)
-                    .isLessThanOrEqualTo((int) (ALLOWED_SECONDS * scenario.perSecond() + BURST));
-            used += play.usedShare() / SEEDS;
+                    .isLessThanOrEqualTo((int) (MAX_LIMIT_SECONDS * scenario.perSecond() + MAX_BURST));
+            used += simulation.usedShare() / SEEDS;
         }
         if (scenario.faults() == RouterFaults.NONE && scenario.lostShare() == 0) {
-            assertThat(used).as("share of the limit that is used").isGreaterThanOrEqualTo(LEAST_USED);
+            assertThat(used).as("share of the limit that is used").isGreaterThanOrEqualTo(MIN_USED_SHARE);
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/SeededLimits.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
@@ -21,16 +21,16 @@
  * <p>Routers, messages and the upstream are modelled with their delays; what is decided is decided by the classes of
  * this package.
  */
-final class SeededLimits {
+final class LimitSimulation {
 
-    static final long NAMES_FROM_MILLIS = 4_000;
+    static final long ADVERTISED_FROM_MILLIS = 4_000;
     static final long SETTLED_MILLIS = 8_000;
-    static final long DAY_MILLIS = 40_000;
+    static final long SIMULATED_MILLIS = 40_000;
 
     private static final UpstreamId UPSTREAM = new UpstreamId("upstream", 1);
-    private static final long ANSWER_MILLIS = 60;
-    private static final long BEAT_MILLIS = 500;
-    private static final long QUESTION_MILLIS = 120;
+    private static final long RESPONSE_MILLIS = 60;
+    private static final long HEARTBEAT_MILLIS = 500;
+    private static final long PERMIT_TIMEOUT_MILLIS = 120;
     private static final long SPLIT_FROM_MILLIS = 14_000;
     private static final long SPLIT_UNTIL_MILLIS = 24_000;
     private static final long DOWN_MILLIS = 1_000;
@@ -44,7 +44,7 @@
     private long messages;
     private long offered;
 
-    SeededLimits(LimitScenario scenario, long seed) {
+    LimitSimulation(LimitScenario scenario, long seed) {
         this.scenario = scenario;
         this.random = new Random(seed);
         for (int i = 0; i < scenario.routers(); i++) {
@@ -53,20 +53,20 @@
     }
 
     /** Plays a day. */
-    SeededLimits play() {
+    LimitSimulation run() {
         for (RouterModel router : routers) {
-            long first = upTo(BEAT_MILLIS);
-            for (long at = first; at < DAY_MILLIS; at += BEAT_MILLIS) {
-                time.at(at, router::beat);
+            long first = upTo(HEARTBEAT_MILLIS);
+            for (long at = first; at < SIMULATED_MILLIS; at += HEARTBEAT_MILLIS) {
+                time.at(at, router::sendHeartbeat);
             }
         }
         double gapMillis = MILLIS_PER_SECOND / scenario.demandPerSecond();
-        for (double at = 2_000; at < DAY_MILLIS; at += -Math.log(1 - random.nextDouble()) * gapMillis) {
-            time.at((long) at, () -> routers.get(scenario.atOne() ? 0 : random.nextInt(routers.size()))
-                    .arrive());
+        for (double at = 2_000; at < SIMULATED_MILLIS; at += -Math.log(1 - random.nextDouble()) * gapMillis) {
+            time.at((long) at, () -> routers.get(scenario.atOneRouter() ? 0 : random.nextInt(routers.size()))
+                    .requestArrives());
         }
         if (scenario.faults() == RouterFaults.RESTARTS) {
-            for (long at = SETTLED_MILLIS; at < DAY_MILLIS; at += 3 * DOWN_MILLIS) {
+            for (long at = SETTLED_MILLIS; at < SIMULATED_MILLIS; at += 3 * DOWN_MILLIS) {
                 time.at(at, () -> routers.get(random.nextInt(routers.size())).restart());
             }
         }
@@ -83,8 +83,8 @@
     }
 
     /** Returns how many requests arrived in the worst four seconds, from some time after the limit was first named. */
-    int worstArrivals() {
-        int worst = 0;
+    int maxArrivals() {
+        int max = 0;
         int first = 0;
         for (int last = 0; last < arrivalsMillis.size(); last++) {
             while (arrivalsMillis.get(first) <= arrivalsMillis.get(last) - 4_000
@@ -93,24 +93,24 @@
                     break;
                 }
             }
-            worst = Math.max(worst, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return worst;
+        return max;
     }
 
     /** Returns the share of the limit that was used after the limit was known. */
     double usedShare() {
         long settled =
                 arrivalsMillis.stream().filter(at -> at >= SETTLED_MILLIS).count();
-        return settled / (scenario.perSecond() * (DAY_MILLIS - SETTLED_MILLIS) / MILLIS_PER_SECOND);
+        return settled / (scenario.perSecond() * (SIMULATED_MILLIS - SETTLED_MILLIS) / MILLIS_PER_SECOND);
     }
 
     /** Returns the messages between routers about the limit, a second. */
     double messagesPerSecond() {
-        return messages * MILLIS_PER_SECOND / (DAY_MILLIS - NAMES_FROM_MILLIS);
+        return messages * MILLIS_PER_SECOND / (SIMULATED_MILLIS - ADVERTISED_FROM_MILLIS);
     }
 
-    private boolean isCut(RouterModel one, RouterModel other) {
+    private boolean isPartitioned(RouterModel one, RouterModel other) {
         return scenario.faults() == RouterFaults.SPLIT
                 && one.place % 2 != other.place % 2
                 && now() >= SPLIT_FROM_MILLIS
@@ -126,7 +126,7 @@
         private PeerTable peers;
         private LimitTable table;
         private LimitAdmission admission;
-        private PermitIssuerService keeping;
+        private PermitIssuerService issuerService;
 
         RouterModel(int place) {
             this.place = place;
@@ -139,7 +139,7 @@
             peers = new PeerTable();
             table = new LimitTable();
             admission = new LimitAdmission(table, this, time::nowMillis);
-            keeping = new PermitIssuerService(host, table, this::permitIssuerOf, time::nowMillis);
+            issuerService = new PermitIssuerService(host, table, this::permitIssuerOf, time::nowMillis);
         }
 
         private void restart() {
@@ -147,7 +147,7 @@
             begin();
             time.at(now() + DOWN_MILLIS, () -> {
                 down = false;
-                routers.forEach(RouterModel::beat);
+                routers.forEach(RouterModel::sendHeartbeat);
                 routers.forEach(other -> other.send(this, router -> other.table
                         .all()
                         .forEach((upstream, limit) -> router.table.reportedByPeer(upstream, limit))));
@@ -167,10 +167,10 @@
                     100,
                     1,
                     true,
-                    BEAT_MILLIS);
+                    HEARTBEAT_MILLIS);
         }
 
-        private void beat() {
+        private void sendHeartbeat() {
             if (!down) {
                 Peer peer = peer();
                 routers.forEach(other -> send(other, router -> router.peers.recordHeartbeat(peer, now())));
@@ -178,25 +178,26 @@
         }
 
         private PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
-            List<HostId> inTouch = new ArrayList<>(List.of(host));
-            peers.alive(now()).forEach(peer -> inTouch.add(peer.process().host()));
-            return PermitIssuerSelector.of(upstream, inTouch, peers.silentEntryRouterCount(now()));
+            List<HostId> connected = new ArrayList<>(List.of(host));
+            peers.alive(now()).forEach(peer -> connected.add(peer.process().host()));
+            return PermitIssuerSelector.of(upstream, connected, peers.silentEntryRouterCount(now()));
         }
 
         /** Delivers something to another router unless it is lost or the other one is down. */
         private void send(RouterModel other, Consumer<RouterModel> message) {
-            boolean lost = other == this || down || isCut(this, other) || random.nextDouble() < scenario.lostShare();
+            boolean lost =
+                    other == this || down || isPartitioned(this, other) || random.nextDouble() < scenario.lostShare();
             if (!lost) {
-                int meant = other.incarnation;
+                int recipient = other.incarnation;
                 time.at(now() + 1 + upTo(3), () -> {
-                    if (!other.down && other.incarnation == meant) {
+                    if (!other.down && other.incarnation == recipient) {
                         message.accept(other);
                     }
                 });
             }
         }
 
-        private void arrive() {
+        private void requestArrives() {
             if (down) {
                 return;
             }
@@ -206,7 +207,7 @@
                 if (granted && mine == incarnation && !down) {
                     long sentMillis = now();
                     time.at(now() + 1 + upTo(2), () -> arrivalsMillis.add(now()));
-                    time.at(now() + ANSWER_MILLIS, () -> answered(mine, sentMillis));
+                    time.at(now() + RESPONSE_MILLIS, () -> answered(mine, sentMillis));
                 }
             });
         }
@@ -215,10 +216,10 @@
             if (mine != incarnation || down) {
                 return;
             }
-            AdvertisedLimit stated = now() < NAMES_FROM_MILLIS
+            AdvertisedLimit advertised = now() < ADVERTISED_FROM_MILLIS
                     ? AdvertisedLimit.ABSENT
                     : new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, scenario.perSecond());
-            if (table.answerReceived(UPSTREAM, stated, sentMillis, now()) == LimitChange.BEGAN) {
+            if (table.answerReceived(UPSTREAM, advertised, sentMillis, now()) == LimitChange.BEGAN) {
                 RateLimit limit = table.find(UPSTREAM);
                 messages += routers.size() - 1;
                 routers.forEach(other -> send(other, router -> router.table.reportedByPeer(UPSTREAM, limit)));
@@ -227,9 +228,9 @@
 
         @Override
         public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-            PermitIssuerSelector kept = keeping.permitIssuerOf(upstream);
-            if (keeping.isThisRouter(kept)) {
-                then.accept(keeping.answer(upstream, wanted, 0));
+            PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+            if (issuerService.isThisRouter(issuer)) {
+                then.accept(issuerService.answer(upstream, wanted, 0));
                 return;
             }
             messages += 2;
@@ -240,16 +241,16 @@
                     then.accept(grant);
                 }
             };
-            RouterModel keeper = routers.stream()
-                    .filter(router -> router.host.equals(kept.host()))
+            RouterModel issuerModel = routers.stream()
+                    .filter(router -> router.host.equals(issuer.host()))
                     .findFirst()
                     .orElseThrow();
-            send(keeper, router -> {
+            send(issuerModel, router -> {
                 router.table.reportedByPeer(upstream, limit);
-                PermitGrant grant = router.keeping.answer(upstream, wanted, 0);
+                PermitGrant grant = router.issuerService.answer(upstream, wanted, 0);
                 router.send(this, asker -> once.accept(grant));
             });
-            time.at(now() + QUESTION_MILLIS, () -> once.accept(null));
+            time.at(now() + PERMIT_TIMEOUT_MILLIS, () -> once.accept(null));
         }
 
         @Override
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void holdsALimitForAsLongAsAnswersNameIt() {
+    void keepsALimitWhileResponsesAdvertiseIt() {
         assertThat(table.answerReceived(UPSTREAM, of(2), 0, 100)).isEqualTo(LimitChange.BEGAN);
         assertThat(table.answerReceived(UPSTREAM, of(2), 150, 200)).isEqualTo(LimitChange.NONE);
         assertThat(table.answerReceived(UPSTREAM, of(5), 250, 300)).isEqualTo(LimitChange.CHANGED);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void keepsALimitOverAnAnswerThatBeganBeforeItWasNamed() {
+    void keepsALimitOnAResponseToARequestSentBeforeItWasAdvertised() {
         table.answerReceived(UPSTREAM, of(2), 0, 100);
         assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.ABSENT, 99, 120))
                 .isEqualTo(LimitChange.NONE);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void lowersALimitAtOnceAndRaisesItOnlyByALaterRequest() {
+    void lowersALimitAtOnceButRaisesItOnlyAfterALaterRequest() {
         table.answerReceived(UPSTREAM, of(5), 0, 100);
         assertThat(table.answerReceived(UPSTREAM, of(2), 50, 110)).isEqualTo(LimitChange.CHANGED);
         assertThat(table.answerReceived(UPSTREAM, of(5), 90, 120)).isEqualTo(LimitChange.NONE);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void keepsWhatHeldOverAValueThatIsNoLimit() {
+    void keepsTheLimitOnAnUnreadableValue() {
         assertThat(table.answerReceived(UPSTREAM, AdvertisedLimit.UNREADABLE, 0, 50))
                 .isEqualTo(LimitChange.NONE);
         table.answerReceived(UPSTREAM, of(2), 0, 100);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void believesTheNewestOfWhatRoutersTell() {
+    void appliesTheLatestReportOfPeers() {
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 100))).isEqualTo(LimitChange.BEGAN);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(1, 90))).isEqualTo(LimitChange.NONE);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(9, 110))).isEqualTo(LimitChange.CHANGED);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void bringsNoLimitBackByNewsThatAreOlderThanItsEnd() {
+    void ignoresReportsOlderThanTheEndOfALimit() {
         table.reportedByPeer(UPSTREAM, new RateLimit(3, 100));
         table.ended(UPSTREAM, 120);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 110))).isEqualTo(LimitChange.NONE);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void forgetsTheLimitOfAnUpstreamThatIsNotListedForAMinute() {
+    void removesTheLimitOfAnUpstreamThatIsUnlistedForAMinute() {
         table.answerReceived(UPSTREAM, of(2), 0, 100);
         table.expire(id -> false, 60_100);
         assertThat(table.find(UPSTREAM)).isNotNull();
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void limitsEachStartOfAnUpstreamByItself() {
+    void limitsEachIncarnationSeparately() {
         table.answerReceived(UPSTREAM, of(2), 0, 100);
         assertThat(table.find(new UpstreamId("upstream", 8))).isNull();
         assertThat(table.forget(UPSTREAM)).isTrue();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/KeeperChoiceTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerSelectorTest.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class KeeperChoiceTest {
+class PermitIssuerSelectorTest {
 
     private static List<HostId> hosts(int number) {
         List<HostId> hosts = new ArrayList<>();
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void isTheSameForAllThatHearOfEachOther() {
+    void isEqualAtAllConnectedRouters() {
         List<HostId> hosts = hosts(7);
         List<HostId> reversed = new ArrayList<>(hosts);
         Collections.reverse(reversed);
@@ -33,17 +33,17 @@
     }
 
     @Test
-    void sharesTheLimitsOfManyUpstreamsOut() {
-        Set<HostId> keepers = new HashSet<>();
+    void distributesTheLimitsOfManyUpstreams() {
+        Set<HostId> issuers = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            keepers.add(PermitIssuerSelector.of(new UpstreamId("upstream-" + i), hosts(7), 0)
+            issuers.add(PermitIssuerSelector.of(new UpstreamId("upstream-" + i), hosts(7), 0)
                     .host());
         }
-        assertThat(keepers).hasSize(7);
+        assertThat(issuers).hasSize(7);
     }
 
     @Test
-    void givesPartsOfAFleetThatDoNotHearOfEachOtherTheLimitTogether() {
+    void splitsTheLimitBetweenPartitions() {
         UpstreamId upstream = new UpstreamId("upstream");
         double one =
                 PermitIssuerSelector.of(upstream, hosts(7).subList(0, 3), 4).share();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void isNobodyWithoutRouters() {
+    void selectsNoIssuerWithoutRouters() {
         assertThat(PermitIssuerSelector.of(new UpstreamId("upstream"), List.of(), 3))
                 .isEqualTo(new PermitIssuerSelector(null, 0));
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitWaitTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitWaitPolicyTest.java
@@ -5,7 +5,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LimitWaitTest {
+class PermitWaitPolicyTest {
 
     private static final long TARGET_MILLIS = 400;
 
@@ -19,7 +19,7 @@
         "10, 0, 1, 2, true",
         "10, 0, 0, 0, false"
     })
-    void letsOneRequestForEachClosedUpstreamWaitForAQuarterOfItsTarget(
+    void allowsOneWaitingRequestPerClosedUpstreamForAQuarterOfItsTarget(
             long opensMillis, long passedMillis, int waiting, int closed, boolean allowed) {
         assertThat(PermitWaitPolicy.isAllowed(opensMillis, passedMillis, TARGET_MILLIS, waiting, closed))
                 .isEqualTo(allowed);
