--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
@@ -4,39 +4,39 @@
 import java.util.regex.Pattern;
 
 /**
- * What one answer of an upstream says of its rate limit.
+ * The rate limit that one response of an upstream advertises.
  *
- * @param kind whether it names one
- * @param perSecond requests a second that it takes from all routers together; 0 unless it names a limit
+ * @param kind whether the response advertises a limit
+ * @param perSecond requests per second from all routers together; 0 unless a limit is advertised
  */
 public record AdvertisedLimit(Kind kind, double perSecond) {
 
-    /** The answer names no limit. */
+    /** No limit is advertised. */
     public static final AdvertisedLimit ABSENT = new AdvertisedLimit(Kind.ABSENT, 0);
 
-    /** The answer names something that is no limit; it says neither that one holds nor that none does. */
+    /** The value is not a valid limit, and neither starts nor ends one. */
     public static final AdvertisedLimit UNREADABLE = new AdvertisedLimit(Kind.UNREADABLE, 0);
 
-    /** Limit from which on it is read as none, in requests a second: no upstream takes as many. */
+    /** Limits from this value on are treated as no limit, in requests per second, as no upstream handles as many. */
     public static final double MAX_PER_SECOND = 100_000;
 
     private static final Pattern DECIMAL = Pattern.compile("\\d{1,30}(\\.\\d{0,30})?([eE][+-]?\\d{1,9})?");
 
-    /** Whether an answer names a limit. */
+    /** Whether a response advertises a limit. */
     public enum Kind {
-        /** It names none. */
+        /** The field is missing. */
         ABSENT,
-        /** It names something that is no limit. */
+        /** The value is not a valid limit. */
         UNREADABLE,
-        /** It names a limit. */
+        /** A limit is advertised. */
         PRESENT
     }
 
     /**
-     * Reads the values of the field that names a limit. Of several values the least one counts.
+     * Parses the values of the limit field. Of several values the lowest one applies.
      *
-     * @param values the field's values in an answer; empty if it lacks the field
-     * @return what they say
+     * @param values the values of the field in a response; empty if the field is missing
+     * @return the advertised limit
      */
     public static AdvertisedLimit parse(List<String> values) {
         if (values.isEmpty()) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
@@ -9,7 +9,7 @@
 
 import org.apricotstack.core.id.UpstreamId;
 
-/** Lets requests to limited upstreams pass only with a permit; requests to all others pass at once. */
+/** Admits requests to rate-limited upstreams only with a permit, and requests to all others at once. */
 public final class LimitAdmission {
 
     private final LimitTable table;
@@ -19,10 +19,10 @@
     private final Map<UpstreamId, List<Consumer<Boolean>>> waiting = new HashMap<>();
 
     /**
-     * Creates an admission.
+     * Creates an admission control.
      *
-     * @param table the limits that hold
-     * @param port asks for permits
+     * @param table the limits in force
+     * @param client requests permits from the permit issuer
      * @param clockMillis the time, in milliseconds
      */
     public LimitAdmission(LimitTable table, PermitClient client, LongSupplier clockMillis) {
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Tells whether an upstream named a limit that holds.
+     * Tells whether a limit of an upstream is in force.
      *
      * @param upstream the upstream
      * @return whether requests to it need a permit
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Returns the time until a request to an upstream may pass.
+     * Returns the time until a request to an upstream may be admitted.
      *
      * @param upstream the upstream
-     * @return milliseconds; 0 if one may pass now, or may be asked for
+     * @return milliseconds; 0 if a request may be admitted, or a permit requested, now
      */
     public long opensMillis(UpstreamId upstream) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
@@ -53,10 +53,11 @@
     }
 
     /**
-     * Lets one request pass, or not.
+     * Admits or rejects one request.
      *
      * @param upstream the upstream
-     * @param then takes whether it may be sent; called at once unless the limit's keeper is asked
+     * @param callback receives whether the request may be sent; called at once unless permits have to be requested from
+     *     the issuer
      */
     public void acquire(UpstreamId upstream, Consumer<Boolean> callback) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Asks for permits, or waits for the answer to a question that is under way. */
+    /** Requests permits, or waits for the reply to a pending request. */
     private void requestPermits(
             UpstreamId upstream, RateLimit limit, Consumer<Boolean> callback, long requestedMillis) {
         List<Consumer<Boolean>> waitingForSameUpstream = waiting.get(upstream);
@@ -91,7 +92,7 @@
                 grant -> permitsReceived(upstream, limit, grant, requestedMillis));
     }
 
-    /** Takes an answer in and lets requests pass, as many as have permits now. */
+    /** Adds the granted permits and admits as many waiting requests as there are permits. */
     private void permitsReceived(UpstreamId upstream, RateLimit requested, PermitGrant grant, long requestedMillis) {
         long now = clockMillis.getAsLong();
         RateLimit known = table.find(upstream);
@@ -107,7 +108,7 @@
     }
 
     /**
-     * Counts a request that is sent without a permit, as it cannot be left out.
+     * Charges a request that is sent without a permit because it cannot be withheld.
      *
      * @param upstream the upstream
      */
@@ -118,7 +119,7 @@
         }
     }
 
-    /** Forgets upstreams that are not limited any more. */
+    /** Removes upstreams that are no longer limited. */
     public void expire() {
         permits.retain(table);
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitChange.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitChange.java
@@ -2,21 +2,21 @@
 
 import java.util.Locale;
 
-/** What an answer or another router's news changes of the limit of an upstream. */
+/** How a response or a gossip message changed the known limit of an upstream. */
 public enum LimitChange {
-    /** Nothing. */
+    /** The limit is unchanged. */
     NONE,
-    /** A limit holds now, and none did. */
+    /** A limit is in force, and none was before. */
     BEGAN,
-    /** Another limit holds now. */
+    /** The limit has another value. */
     CHANGED,
-    /** No limit holds any more. */
+    /** No limit is in force any more. */
     ENDED;
 
     /**
-     * Returns the name for logs.
+     * Returns the name used in logs.
      *
-     * @return lower case
+     * @return the constant's name in lower case
      */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
@@ -9,30 +9,34 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * The limits that upstreams named, as this router read them in answers and as other routers told.
+ * The rate limits that upstreams advertised in their responses to this router or to other routers, which report them by
+ * gossip.
  *
- * <p>Answers overtake each other on different connections. So a limit is lowered at once, but raised or ended only by
- * an answer to a request that was sent after the limit was last named. Each start of an upstream is limited by itself.
+ * <p>Responses on different connections arrive out of order. So a limit is lowered at once, but raised or ended only by
+ * a response to a request that was sent after the limit was last advertised. Limits are recorded per incarnation of an
+ * upstream.
  */
 public final class LimitTable {
 
-    /** Time for which the limit of an upstream that is not listed is kept, in milliseconds: it may be listed again. */
+    /**
+     * Time for which the limit of an unlisted upstream is kept, in milliseconds, as the upstream may be listed again.
+     */
     private static final long UNLISTED_MILLIS = 60_000;
 
-    /** Ends that are remembered, so that older news do not bring the limit back. */
+    /** Maximum number of ended limits to remember, so that delayed gossip messages don't restore them. */
     private static final int MAX_ENDS = 1_000;
 
     private final Map<UpstreamId, RateLimit> limits = new HashMap<>();
     private final Map<UpstreamId, Long> endsMillis = new LinkedHashMap<>();
 
     /**
-     * Takes in what an answer says.
+     * Records the limit that a response advertises.
      *
-     * @param upstream the start that answered
-     * @param stated what it says
-     * @param sentMillis when the request was sent, or before
-     * @param nowMillis when the answer came
-     * @return what changed
+     * @param upstream the incarnation that responded
+     * @param advertised the advertised limit
+     * @param sentMillis time at which the request was sent, or an earlier time
+     * @param nowMillis time at which the response arrived
+     * @return the change
      */
     public LimitChange answerReceived(
             UpstreamId upstream, AdvertisedLimit advertised, long sentMillis, long nowMillis) {
@@ -43,7 +47,7 @@
         };
     }
 
-    /** Takes a limit in that an answer names. */
+    /** Records an advertised limit. */
     private LimitChange advertised(UpstreamId upstream, double perSecond, long sentMillis, long nowMillis) {
         RateLimit before = limits.get(upstream);
         if (before != null && perSecond > before.perSecond() && sentMillis <= before.advertisedMillis()) {
@@ -53,11 +57,11 @@
     }
 
     /**
-     * Takes in that another router read a limit.
+     * Records a limit that another router received.
      *
-     * @param upstream the start that is limited
-     * @param told the limit, with the time at which that router read it
-     * @return what changed
+     * @param upstream the limited incarnation
+     * @param reported the limit, with the time at which that router received it
+     * @return the change
      */
     public LimitChange reportedByPeer(UpstreamId upstream, RateLimit reported) {
         RateLimit before = limits.get(upstream);
@@ -67,7 +71,7 @@
         return outdated ? LimitChange.NONE : put(upstream, reported, before);
     }
 
-    /** Notes a limit. */
+    /** Stores a limit. */
     private LimitChange put(UpstreamId upstream, RateLimit limit, RateLimit before) {
         limits.put(upstream, limit);
         endsMillis.remove(upstream);
@@ -78,11 +82,11 @@
     }
 
     /**
-     * Takes in that an upstream named no limit.
+     * Ends the limit of an upstream that no longer advertises one.
      *
-     * @param upstream the start
-     * @param atMillis a time at which it had named the limit for the last time, or earlier
-     * @return what changed
+     * @param upstream the incarnation
+     * @param atMillis time after which it has advertised no limit; limits advertised later are kept
+     * @return the change
      */
     public LimitChange ended(UpstreamId upstream, long atMillis) {
         RateLimit before = limits.get(upstream);
@@ -98,9 +102,9 @@
     }
 
     /**
-     * Forgets a start of an upstream that is over.
+     * Removes an incarnation of an upstream that no longer runs.
      *
-     * @param upstream the start
+     * @param upstream the incarnation
      * @return whether it was limited
      */
     public boolean forget(UpstreamId upstream) {
@@ -109,7 +113,7 @@
     }
 
     /**
-     * Forgets upstreams that have not been listed and have named no limit for long.
+     * Removes the limits of unlisted upstreams that were last advertised more than a minute ago.
      *
      * @param listed tells whether an upstream is listed
      * @param nowMillis the time
@@ -123,8 +127,8 @@
     /**
      * Returns the limit of an upstream.
      *
-     * @param upstream the start
-     * @return its limit, or {@code null} if none holds
+     * @param upstream the incarnation
+     * @return its limit; {@code null} if none is in force
      */
     public RateLimit find(UpstreamId upstream) {
         return limits.get(upstream);
@@ -133,26 +137,26 @@
     /**
      * Tells whether no upstream is limited.
      *
-     * @return whether no limit holds
+     * @return whether no limit is in force
      */
     public boolean isEmpty() {
         return limits.isEmpty();
     }
 
     /**
-     * Returns when an upstream had named its last limit for the last time, or earlier.
+     * Returns the time at which the limit of an upstream ended.
      *
-     * @param upstream the start
-     * @return the time; {@code null} if a limit holds, or none is known to have held
+     * @param upstream the incarnation
+     * @return the time; {@code null} if a limit is in force or none is known to have ended
      */
     public Long endMillis(UpstreamId upstream) {
         return endsMillis.get(upstream);
     }
 
     /**
-     * Returns all limits that hold.
+     * Returns all limits in force.
      *
-     * @return the limits; changes with this table
+     * @return an unmodifiable live view of the limits
      */
     public Map<UpstreamId, RateLimit> all() {
         return Collections.unmodifiableMap(limits);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
@@ -4,25 +4,25 @@
 
 import org.apricotstack.core.id.UpstreamId;
 
-/** Asks the router that keeps the limit of an upstream for permits. */
+/** Port: sends permit requests to the permit issuer of an upstream. */
 public interface PermitClient {
 
     /**
-     * Asks for permits.
+     * Requests permits.
      *
      * @param upstream the limited upstream
-     * @param limit its limit as this router knows it
-     * @param wanted permits that can be used soon
-     * @param then takes the answer, at once or a little later; {@code null} if there is none
+     * @param limit its limit as known to this router
+     * @param wanted number of permits that can be used soon
+     * @param callback receives the reply, at once or later; {@code null} if there is none
      */
     void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback);
 
     /**
-     * Tells of requests that were sent without a permit, as they could not be left out.
+     * Reports requests that were sent without a permit because they could not be withheld.
      *
      * @param upstream the limited upstream
-     * @param limit its limit as this router knows it
-     * @param requests how many
+     * @param limit its limit as known to this router
+     * @param requests number of requests
      */
     void charge(UpstreamId upstream, RateLimit limit, int requests);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitGrant.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitGrant.java
@@ -1,9 +1,9 @@
 package org.apricotstack.core.ratelimit;
 
 /**
- * What the keeper of a limit answers to a router that asks for permits.
+ * The reply of a permit issuer to a permit request.
  *
- * @param permits requests that may be sent; each permit is for one
- * @param againMillis time before which asking again is of no use, in milliseconds
+ * @param permits number of requests that may be sent
+ * @param againMillis time after which the router should request permits again, in milliseconds
  */
 public record PermitGrant(int permits, long againMillis) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuer.java
@@ -6,60 +6,70 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Grants permits for limited upstreams, for all routers that ask this one.
+ * Grants permits for rate-limited upstreams to all routers that request them from this one.
  *
- * <p>What goes wrong without it: each router keeps to a limit alone, and together they send as many times more; or each
- * takes an equal part, which for a small limit is less than a request in the time for which callers wait.
+ * <p>If each router applied the limit on its own, all routers together would exceed it by a factor of their number. If
+ * each applied an equal part, the part of a small limit would be less than one request within the time for which
+ * callers wait.
  *
- * <p>Routers that get no permit are told when to come back, one after the other, so that a small limit in a large fleet
- * is not asked for by all routers at each permit.
+ * <p>Routers that are granted no permit receive staggered retry times, so that in a large fleet not all routers request
+ * each permit of a small limit.
  */
 public final class PermitIssuer {
 
-    /** Least rate, in requests a second: an upstream that gets no request could never say that it has recovered. */
+    /**
+     * Minimum rate, in requests per second: an upstream that receives no requests could never signal that it has
+     * recovered.
+     */
     public static final double MIN_PER_SECOND = 0.1;
 
-    /** Permits that add up while nobody asks: with fewer, a small limit is not used up between chance arrivals. */
+    /**
+     * Maximum number of unused permits that accumulate; with fewer, a small limit could not be used fully by random
+     * arrivals.
+     */
     private static final double BURST_PERMITS = 2;
 
-    /** Rate that adds up beyond them, in seconds. */
+    /** Additional permits that accumulate, in seconds of the rate. */
     private static final double BURST_SECONDS = 0.25;
 
-    /** Rate that is withheld when this router begins to keep a limit, in seconds; another may have kept it so far. */
+    /**
+     * Permits withheld when this router becomes the issuer of a limit, in seconds of the rate, as another router may
+     * have been the issuer so far.
+     */
     private static final double INITIAL_DEBT_SECONDS = 1;
 
-    /** Most that requests without a permit may take in advance, in seconds of the rate. */
+    /** Maximum debt for requests sent without a permit, in seconds of the rate. */
     private static final double MAX_DEBT_SECONDS = 4;
 
-    /** Routers that are told to come back for each permit; some of them have no request by then. */
+    /** Number of routers that are scheduled to retry for each permit, as some of them have no request by then. */
     private static final double RETRIES_PER_PERMIT = 4;
 
-    /** Least time between two of them, in milliseconds. */
+    /** Minimum time between two scheduled retries, in milliseconds. */
     private static final double MIN_RETRY_SPACING_MILLIS = 10;
 
-    /** Longest time after which a router is told to come back, in milliseconds. */
+    /** Maximum retry time, in milliseconds. */
     private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
 
-    /** Shortest time after which a router is told to come back, in milliseconds. */
+    /** Minimum retry time, in milliseconds. */
     private static final long MIN_RETRY_AFTER_MILLIS = 5;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final Map<UpstreamId, PermitBalance> balances = new HashMap<>();
 
-    /** What may still be sent to one upstream. */
+    /** The permits of one upstream; negative while in debt. */
     private static final class PermitBalance {
         private double permits;
         private long accruedUntilMillis;
         private double nextRetryMillis;
 
-        /** Opens an account from which nothing may be taken for a while. */
+        /** Creates a balance with the initial debt. */
         private PermitBalance(double perSecond, long nowMillis) {
             this.permits = -INITIAL_DEBT_SECONDS * perSecond;
             this.accruedUntilMillis = nowMillis;
         }
 
-        /** Adds what the time since the last count brings. */
+        /** Adds the permits accrued since the last call. */
         private void accrue(double perSecond, long nowMillis) {
             double accrued = Math.max(0, nowMillis - accruedUntilMillis) / MILLIS_PER_SECOND * perSecond;
             permits = Math.min(BURST_PERMITS + BURST_SECONDS * perSecond, permits + accrued);
@@ -73,7 +83,7 @@
             return granted;
         }
 
-        /** Returns the time after which the next router should come back, in milliseconds. */
+        /** Returns the time after which the next router should retry, in milliseconds. */
         private long againMillis(double perSecond, long nowMillis) {
             if (permits >= 1) {
                 return 0;
@@ -91,11 +101,11 @@
      * Grants permits.
      *
      * @param upstream the limited upstream
-     * @param perSecond its limit, in requests a second
-     * @param share share of the routers that this one speaks for, 0 to 1; others may have a keeper of their own
-     * @param wanted permits that the asking router can use soon
+     * @param perSecond its limit, in requests per second
+     * @param share share of the active routers that use this issuer, 0 to 1; the others may have their own issuer
+     * @param wanted number of permits that the requesting router can use soon
      * @param nowMillis the time
-     * @return the permits, and when to ask again
+     * @return the permits and the retry time
      */
     public PermitGrant grant(UpstreamId upstream, double perSecond, double share, int wanted, long nowMillis) {
         double rate = rate(perSecond, share);
@@ -105,12 +115,12 @@
     }
 
     /**
-     * Counts requests that were sent without a permit.
+     * Charges requests that were sent without a permit.
      *
      * @param upstream the limited upstream
-     * @param perSecond its limit, in requests a second
-     * @param share share of the routers that this one speaks for, 0 to 1
-     * @param requests how many
+     * @param perSecond its limit, in requests per second
+     * @param share share of the active routers that use this issuer, 0 to 1
+     * @param requests number of requests
      * @param nowMillis the time
      */
     public void charge(UpstreamId upstream, double perSecond, double share, int requests, long nowMillis) {
@@ -119,12 +129,12 @@
         balance.permits = Math.max(-Math.max(1, MAX_DEBT_SECONDS * rate), balance.permits - requests);
     }
 
-    /** Returns the rate that is granted here. */
+    /** Returns the rate at which this issuer grants permits. */
     private static double rate(double perSecond, double share) {
         return Math.max(MIN_PER_SECOND, perSecond) * share;
     }
 
-    /** Returns the account of an upstream as it is now. */
+    /** Returns the updated balance of an upstream. */
     private PermitBalance balance(UpstreamId upstream, double rate, long nowMillis) {
         PermitBalance balance = balances.computeIfAbsent(upstream, id -> new PermitBalance(rate, nowMillis));
         balance.accrue(rate, nowMillis);
@@ -132,9 +142,9 @@
     }
 
     /**
-     * Forgets upstreams that are not limited any more.
+     * Removes upstreams that are no longer limited.
      *
-     * @param limits the limits that hold
+     * @param limits the limits in force
      */
     public void retain(LimitTable limits) {
         if (!balances.isEmpty()) {
@@ -143,9 +153,9 @@
     }
 
     /**
-     * Returns of how many upstreams this router has granted permits.
+     * Returns the number of upstreams for which this router has granted permits.
      *
-     * @return upstreams
+     * @return number of upstreams
      */
     public int size() {
         return balances.size();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelector.java
@@ -7,23 +7,23 @@
 import org.apricotstack.core.routing.Rendezvous;
 
 /**
- * The router that keeps the limit of an upstream, as one router sees it.
+ * The permit issuer of an upstream, as seen by one router.
  *
- * <p>All routers that hear of each other choose alike. Where some do not, as after a cut, each part has a keeper, which
- * grants as large a share of the limit as the part is of the whole.
+ * <p>All connected routers select the same issuer. In a network partition each part has its own issuer, which grants a
+ * share of the limit in proportion to the number of routers in that part.
  *
- * @param host the keeper; {@code null} if no router can be one
- * @param share share of the routers that are in touch, 0 to 1
+ * @param host the issuer; {@code null} if no router is available
+ * @param share share of the active routers that are connected, 0 to 1
  */
 public record PermitIssuerSelector(HostId host, double share) {
 
     /**
-     * Chooses the keeper.
+     * Selects the issuer.
      *
      * @param upstream the limited upstream
-     * @param connected routers that decide on requests and were heard lately, this one too if it decides
-     * @param silent how many others were heard deciding before and are silent now
-     * @return the choice
+     * @param connected active routers with a recent heartbeat, including this one if it is active
+     * @param silent number of other active routers whose heartbeats are missing
+     * @return the issuer and its share
      */
     public static PermitIssuerSelector of(UpstreamId upstream, List<HostId> connected, int silent) {
         double share = connected.isEmpty() ? 0 : (double) connected.size() / (connected.size() + silent);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
@@ -6,10 +6,13 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** The part of a router that keeps limits for all routers that ask it. */
+/** Answers permit requests of all routers, for the upstreams whose permit issuer is this router. */
 public final class PermitIssuerService {
 
-    /** Time after which a router that asked the wrong one asks again, in milliseconds; both hear of more till then. */
+    /**
+     * Retry time of a router that requested permits from a router that is not the issuer, in milliseconds; by then both
+     * have received further heartbeats.
+     */
     private static final long NOT_ISSUER_RETRY_MILLIS = 200;
 
     private final HostId own;
@@ -19,11 +22,11 @@
     private final PermitIssuer permitIssuer = new PermitIssuer();
 
     /**
-     * Creates a part that has kept no limit.
+     * Creates a service without balances.
      *
      * @param own this router
-     * @param table the limits that hold
-     * @param choice who keeps the limit of an upstream, as this router sees it
+     * @param table the limits in force
+     * @param selector selects the permit issuer of an upstream, as seen by this router
      * @param clockMillis the time, in milliseconds
      */
     public PermitIssuerService(
@@ -38,32 +41,32 @@
     }
 
     /**
-     * Returns who keeps the limit of an upstream.
+     * Returns the permit issuer of an upstream.
      *
      * @param upstream the upstream
-     * @return the keeper as this router sees it
+     * @return the issuer as seen by this router
      */
     public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
         return selector.apply(upstream);
     }
 
     /**
-     * Tells whether this router keeps a limit.
+     * Tells whether this router is the permit issuer.
      *
-     * @param kept the keeper as this router sees it
-     * @return whether it is this one
+     * @param issuer the issuer as seen by this router
+     * @return whether it is this router
      */
     public boolean isThisRouter(PermitIssuerSelector issuer) {
         return own.equals(issuer.host());
     }
 
     /**
-     * Answers a router that asks for permits, this one too.
+     * Answers a permit request of a router, possibly this one.
      *
      * @param upstream the limited upstream
-     * @param wanted permits that can be used soon
-     * @param charged requests that were sent without a permit
-     * @return the permits
+     * @param wanted number of permits that the router can use soon
+     * @param charged number of requests that were sent without a permit
+     * @return the permits and the retry time
      */
     public PermitGrant answer(UpstreamId upstream, int wanted, int charged) {
         PermitIssuerSelector issuer = selector.apply(upstream);
@@ -83,15 +86,15 @@
                 : permitIssuer.grant(upstream, limit.perSecond(), issuer.share(), wanted, now);
     }
 
-    /** Forgets upstreams that are not limited any more. */
+    /** Removes upstreams that are no longer limited. */
     public void expire() {
         permitIssuer.retain(table);
     }
 
     /**
-     * Returns how many limits this router has kept.
+     * Returns the number of limits for which this router has granted permits.
      *
-     * @return upstreams
+     * @return number of upstreams
      */
     public int issuedLimits() {
         return permitIssuer.size();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
@@ -5,32 +5,32 @@
 
 import org.apricotstack.core.id.UpstreamId;
 
-/** The permits that this router holds for limited upstreams, and when it may ask for more. */
+/** The permits that this router holds for rate-limited upstreams, and the times from which it may request more. */
 public final class PermitPool {
 
-    /** Time for which a permit may be used, in milliseconds from the question. */
+    /** Time for which a permit is valid, in milliseconds from the permit request. */
     static final long PERMIT_VALID_MILLIS = 1_000;
 
-    /** Time whose requests one question covers, in seconds. */
+    /** Time whose expected demand one permit request covers, in seconds. */
     private static final double DEMAND_COVERAGE_SECONDS = 0.5;
 
-    /** Permits that are asked for at once, at most. */
+    /** Maximum number of permits in one permit request. */
     private static final int MAX_REQUESTED = 64;
 
-    /** Time over which the demand is counted, in milliseconds. */
+    /** Length of the window in which demand is counted, in milliseconds. */
     private static final long DEMAND_WINDOW_MILLIS = 1_000;
 
-    /** Shortest time for which a keeper that granted nothing is not asked, in milliseconds. */
+    /** Minimum time between permit requests after an empty grant, in milliseconds. */
     private static final long MIN_CLOSED_MILLIS = 20;
 
-    /** Time for which a keeper that did not answer is not asked, in milliseconds. */
+    /** Time without permit requests after an issuer did not reply, in milliseconds. */
     private static final long UNANSWERED_MILLIS = 300;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final Map<UpstreamId, UpstreamPermits> byUpstream = new HashMap<>();
+    private final Map<UpstreamId, UpstreamPermits> upstreamPermits = new HashMap<>();
 
-    /** What is held for one upstream. */
+    /** The permits and demand of one upstream. */
     private static final class UpstreamPermits {
         private int permits;
         private long untilMillis;
@@ -40,7 +40,7 @@
         private int previousDemand;
         private long windowStartMillis;
 
-        /** Counts a request that could be sent there. */
+        /** Records a request that could be sent there. */
         private void recordDemand(long nowMillis) {
             long elapsed = nowMillis - windowStartMillis;
             if (elapsed >= DEMAND_WINDOW_MILLIS) {
@@ -51,36 +51,36 @@
             demand++;
         }
 
-        /** Returns the requests that could be sent there, a second. */
+        /** Returns the demand, in requests per second. */
         private double perSecond() {
             return Math.max(demand, previousDemand) * MILLIS_PER_SECOND / DEMAND_WINDOW_MILLIS;
         }
 
-        /** Tells whether the keeper need not be asked; a limit that was raised opens it. */
+        /** Tells whether permit requests are suspended; a raised limit resumes them. */
         private boolean isClosed(RateLimit limit, long nowMillis) {
             return nowMillis < closedUntilMillis && limit.perSecond() <= closedAtPerSecond;
         }
 
-        /** Keeps the keeper from being asked for some time. */
+        /** Suspends permit requests for some time. */
         private void close(RateLimit limit, long millis, long nowMillis) {
             closedUntilMillis = nowMillis + millis;
             closedAtPerSecond = limit.perSecond();
         }
     }
 
-    /** Returns what is held for an upstream. */
-    private UpstreamPermits permitsOf(UpstreamId upstream) {
-        return byUpstream.computeIfAbsent(upstream, id -> new UpstreamPermits());
+    /** Returns the state of an upstream. */
+    private UpstreamPermits upstreamPermits(UpstreamId upstream) {
+        return upstreamPermits.computeIfAbsent(upstream, id -> new UpstreamPermits());
     }
 
     /**
-     * Counts a request that could be sent to an upstream, so that permits are asked for in time.
+     * Records a request that could be sent to an upstream, so that enough permits are requested in advance.
      *
      * @param upstream the limited upstream
      * @param nowMillis the time
      */
     public void recordDemand(UpstreamId upstream, long nowMillis) {
-        permitsOf(upstream).recordDemand(nowMillis);
+        upstreamPermits(upstream).recordDemand(nowMillis);
     }
 
     /**
@@ -88,10 +88,10 @@
      *
      * @param upstream the limited upstream
      * @param nowMillis the time
-     * @return whether there was one
+     * @return whether a valid permit was available
      */
     public boolean take(UpstreamId upstream, long nowMillis) {
-        UpstreamPermits held = permitsOf(upstream);
+        UpstreamPermits held = upstreamPermits(upstream);
         if (held.permits == 0 || nowMillis >= held.untilMillis) {
             return false;
         }
@@ -100,42 +100,42 @@
     }
 
     /**
-     * Returns the time until a permit may be had.
+     * Returns the time until a permit may be available.
      *
      * @param upstream the limited upstream
      * @param limit its limit
      * @param nowMillis the time
-     * @return milliseconds; 0 if one is held, or may be asked for
+     * @return milliseconds; 0 if a permit is held or may be requested
      */
     public long opensMillis(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        UpstreamPermits held = byUpstream.get(upstream);
+        UpstreamPermits held = upstreamPermits.get(upstream);
         boolean closed =
                 held != null && held.isClosed(limit, nowMillis) && (held.permits == 0 || nowMillis >= held.untilMillis);
         return closed ? held.closedUntilMillis - nowMillis : 0;
     }
 
     /**
-     * Returns how many permits to ask for.
+     * Returns the number of permits to request.
      *
      * @param upstream the limited upstream
-     * @return permits, one at least
+     * @return number of permits, at least 1
      */
     public int permitsToRequest(UpstreamId upstream) {
-        double expectedDemand = permitsOf(upstream).perSecond() * DEMAND_COVERAGE_SECONDS;
+        double expectedDemand = upstreamPermits(upstream).perSecond() * DEMAND_COVERAGE_SECONDS;
         return (int) Math.max(1, Math.min(MAX_REQUESTED, Math.floor(expectedDemand)));
     }
 
     /**
-     * Takes permits in.
+     * Adds granted permits.
      *
      * @param upstream the limited upstream
      * @param limit its limit
-     * @param grant the answer of its keeper
-     * @param requestedMillis when it was asked
+     * @param grant the reply of the permit issuer
+     * @param requestedMillis time of the permit request
      * @param nowMillis the time
      */
     public void granted(UpstreamId upstream, RateLimit limit, PermitGrant grant, long requestedMillis, long nowMillis) {
-        UpstreamPermits held = permitsOf(upstream);
+        UpstreamPermits held = upstreamPermits(upstream);
         if (grant.permits() > 0) {
             int remaining = nowMillis < held.untilMillis ? held.permits : 0;
             held.permits = remaining + grant.permits();
@@ -146,24 +146,24 @@
     }
 
     /**
-     * Notes that the keeper did not answer.
+     * Records that the permit issuer did not reply.
      *
      * @param upstream the limited upstream
      * @param limit its limit
      * @param nowMillis the time
      */
     public void issuerUnavailable(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        permitsOf(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
+        upstreamPermits(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
     }
 
     /**
-     * Forgets upstreams that are not limited any more.
+     * Removes upstreams that are no longer limited.
      *
-     * @param limits the limits that hold
+     * @param limits the limits in force
      */
     public void retain(LimitTable limits) {
-        if (!byUpstream.isEmpty()) {
-            byUpstream.keySet().removeIf(upstream -> limits.find(upstream) == null);
+        if (!upstreamPermits.isEmpty()) {
+            upstreamPermits.keySet().removeIf(upstream -> limits.find(upstream) == null);
         }
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
@@ -1,14 +1,16 @@
 package org.apricotstack.core.ratelimit;
 
 /**
- * Decides whether a request waits until a limit lets it pass, as all upstreams that it may use are closed by theirs.
+ * Decides whether a request waits for a permit if the limits of all its candidate upstreams are used up.
  *
- * <p>Load that it answers: more requests than all upstreams together take. Of the routers that are told to come back
- * for a permit most get none; requests that waited for it again and again would be refused seconds later.
+ * <p>This matters when the load exceeds the limits of all upstreams together. Most routers that retry for a permit are
+ * granted none, and requests that waited repeatedly would be refused seconds later.
  */
 public final class PermitWaitPolicy {
 
-    /** Part of the target latency for which a request may wait; the rest is left for its answer. */
+    /**
+     * Divisor for the part of the target latency that a request may spend waiting; the rest is left for the response.
+     */
     private static final long WAIT_DIVISOR = 4;
 
     private PermitWaitPolicy() {}
@@ -16,12 +18,12 @@
     /**
      * Tells whether a request may wait.
      *
-     * @param opensMillis time until an upstream opens, in milliseconds
-     * @param elapsedMillis how long ago the request arrived, in milliseconds
+     * @param opensMillis time until a permit for an upstream may be available, in milliseconds
+     * @param elapsedMillis time since the request arrived, in milliseconds
      * @param targetMillis its target latency, in milliseconds
-     * @param waiting requests that wait at this router already
-     * @param closed upstreams that are closed; one request waits for each
-     * @return whether it may; otherwise it is refused at once
+     * @param waiting number of requests already waiting at this router
+     * @param closedUpstreams number of upstreams without permits; one request may wait for each
+     * @return whether it may wait; otherwise it has to be refused at once
      */
     public static boolean isAllowed(
             long opensMillis, long elapsedMillis, long targetMillis, int waiting, int closedUpstreams) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps what all routers together send to an upstream within the rate limit that it names. */
+/** Keeps the requests of all routers to an upstream within the rate limit that it advertises. */
 package org.apricotstack.core.ratelimit;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScenario.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScenario.java
@@ -1,14 +1,14 @@
 package org.apricotstack.core.ratelimit;
 
 /**
- * What routers and an upstream that names a limit go through.
+ * A simulated scenario: routers and an upstream that advertises a limit.
  *
- * @param routers routers that decide on requests
- * @param perSecond the limit
- * @param demandPerSecond requests that could be sent to the upstream, from all routers together
- * @param atOneRouter whether all requests come to one router
+ * @param routers number of active routers
+ * @param perSecond the limit, in requests per second
+ * @param demandPerSecond rate of requests that could be sent to the upstream, from all routers together
+ * @param atOneRouter whether all requests arrive at one router
  * @param lostShare share of the messages between routers that are lost
- * @param faults what happens to routers
+ * @param faults the faults injected
  */
 record LimitScenario(
         int routers,
@@ -18,12 +18,12 @@
         double lostShare,
         RouterFaults faults) {
 
-    /** What happens to routers. */
+    /** Faults injected into the routers. */
     enum RouterFaults {
         NONE,
-        /** One router is killed every three seconds and is back after one. */
+        /** A router is killed every three seconds and restarts after one second. */
         RESTARTS,
-        /** Two halves do not hear of each other for ten seconds. */
+        /** The routers are partitioned into two halves for ten seconds. */
         SPLIT
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitScheduleTest.java
@@ -10,18 +10,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** How many requests a limited upstream gets from all routers together, in virtual time over seeds. */
+/** Requests that a rate-limited upstream receives from all routers together, in virtual time with several seeds. */
 class LimitScheduleTest {
 
     private static final int SEEDS = 4;
     private static final double DEMAND_FACTOR = 3;
 
-    /** Limit's time whose requests may come in four seconds, in seconds, and requests beyond it. */
+    /**
+     * Bound on the requests in four seconds, in seconds of the limit; up to {@link #MAX_BURST} requests may exceed it.
+     */
     private static final double MAX_LIMIT_SECONDS = 4.5;
 
     private static final int MAX_BURST = 3;
 
-    /** Share of a limit that is used while there is demand. */
+    /** Minimum share of a limit that must be used while there is demand. */
     private static final double MIN_USED_SHARE = 0.8;
 
     static Stream<LimitScenario> scenarios() {
@@ -48,12 +50,12 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             LimitSimulation simulation = new LimitSimulation(scenario, seed).run();
             assertThat(simulation.maxArrivals())
-                    .as("requests in four seconds, seed %d", seed)
+                    .as("requests received within four seconds, seed %d", seed)
                     .isLessThanOrEqualTo((int) (MAX_LIMIT_SECONDS * scenario.perSecond() + MAX_BURST));
             used += simulation.usedShare() / SEEDS;
         }
         if (scenario.faults() == RouterFaults.NONE && scenario.lostShare() == 0) {
-            assertThat(used).as("share of the limit that is used").isGreaterThanOrEqualTo(MIN_USED_SHARE);
+            assertThat(used).as("used share of the limit").isGreaterThanOrEqualTo(MIN_USED_SHARE);
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
@@ -16,10 +16,10 @@
 import org.apricotstack.core.suspect.VirtualTime;
 
 /**
- * Routers in virtual time whose requests could all go to one upstream that names a limit in its answers.
+ * Simulates routers in virtual time whose requests can all be sent to one upstream that advertises a limit.
  *
- * <p>Routers, messages and the upstream are modelled with their delays; what is decided is decided by the classes of
- * this package.
+ * <p>Routers, messages and the upstream are modelled with their delays; all decisions are made by the classes of this
+ * package.
  */
 final class LimitSimulation {
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Plays a day. */
+    /** Runs the simulation. */
     LimitSimulation run() {
         for (RouterModel router : routers) {
             long first = upTo(HEARTBEAT_MILLIS);
@@ -82,7 +82,7 @@
         return (long) (random.nextDouble() * millis);
     }
 
-    /** Returns how many requests arrived in the worst four seconds, from some time after the limit was first named. */
+    /** Returns the maximum number of requests received within four seconds, from {@link #SETTLED_MILLIS} on. */
     int maxArrivals() {
         int max = 0;
         int first = 0;
@@ -98,14 +98,14 @@
         return max;
     }
 
-    /** Returns the share of the limit that was used after the limit was known. */
+    /** Returns the share of the limit that was used from {@link #SETTLED_MILLIS} on. */
     double usedShare() {
         long settled =
                 arrivalsMillis.stream().filter(at -> at >= SETTLED_MILLIS).count();
         return settled / (scenario.perSecond() * (SIMULATED_MILLIS - SETTLED_MILLIS) / MILLIS_PER_SECOND);
     }
 
-    /** Returns the messages between routers about the limit, a second. */
+    /** Returns the rate of messages between routers about the limit, per second. */
     double messagesPerSecond() {
         return messages * MILLIS_PER_SECOND / (SIMULATED_MILLIS - ADVERTISED_FROM_MILLIS);
     }
@@ -117,7 +117,7 @@
                 && now() < SPLIT_UNTIL_MILLIS;
     }
 
-    /** A router. */
+    /** A simulated router. */
     private final class RouterModel implements PermitClient {
         private final int place;
         private final HostId host;
@@ -183,7 +183,7 @@
             return PermitIssuerSelector.of(upstream, connected, peers.silentEntryRouterCount(now()));
         }
 
-        /** Delivers something to another router unless it is lost or the other one is down. */
+        /** Sends a message to another router, unless the message is lost or the router is down. */
         private void send(RouterModel other, Consumer<RouterModel> message) {
             boolean lost =
                     other == this || down || isPartitioned(this, other) || random.nextDouble() < scenario.lostShare();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerTest.java
@@ -14,7 +14,7 @@
 
     private final PermitIssuer issuer = new PermitIssuer();
 
-    /** Asks every ten milliseconds and returns how many permits were granted. */
+    /** Requests a permit every ten milliseconds and returns the number of granted permits. */
     private int granted(double perSecond, long fromMillis, long untilMillis) {
         int granted = 0;
         for (long now = fromMillis; now < untilMillis; now += 10) {
