--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
@@ -16,7 +16,7 @@
     /** When to come back after a refusal for too many running requests, in milliseconds. */
     private static final long CONCURRENCY_RETRY_MILLIS = 250;
 
-    private final Map<ClientAccountId, Account> accounts = new ConcurrentHashMap<>();
+    private final Map<ClientAccountId, AccountState> accounts = new ConcurrentHashMap<>();
     private final LimitShares shares;
     private final MonotonicClock clock;
 
@@ -41,12 +41,12 @@
      */
     public Refusal admit(ClientAccount account, Preset preset, long tokens) {
         double share = shares.share(account.id());
-        Account state = accounts.computeIfAbsent(
-                account.id(), id -> new Account(new TokenBucket(account.burstTokens() * share, clock.nanos())));
+        AccountState state = accounts.computeIfAbsent(
+                account.id(), id -> new AccountState(new TokenBucket(account.burstTokens() * share, clock.nanos())));
         synchronized (state) {
             state.demandTokens += tokens;
-            int concurrent = (int) Math.max(1, Math.ceil(account.maxConcurrent() * share));
-            if (state.running >= concurrent) {
+            int maxConcurrent = (int) Math.max(1, Math.ceil(account.maxConcurrent() * share));
+            if (state.running >= maxConcurrent) {
                 return Refusal.notRun(RefusalReason.CONCURRENCY_LIMITED, CONCURRENCY_RETRY_MILLIS);
             }
             double rate = account.tokensPerSecond() * share * preset.limitFactor();
@@ -66,7 +66,7 @@
      * @param unusedTokens tokens that were admitted and not used
      */
     public void end(ClientAccountId account, long unusedTokens) {
-        Account state = accounts.get(account);
+        AccountState state = accounts.get(account);
         synchronized (state) {
             state.running--;
             state.bucket.giveBack(Math.max(0, unusedTokens));
@@ -92,13 +92,13 @@
     }
 
     /** The state of one client account at this router. */
-    private static final class Account {
+    private static final class AccountState {
         private final TokenBucket bucket;
         private int running;
         private long demandTokens;
 
         /** Creates the state of an account without requests. */
-        private Account(TokenBucket bucket) {
+        private AccountState(TokenBucket bucket) {
             this.bucket = bucket;
         }
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
@@ -18,7 +18,7 @@
  */
 public final class LeasedLimitShares implements LimitShares {
 
-    private final Map<ClientAccountId, Held> leases = new ConcurrentHashMap<>();
+    private final Map<ClientAccountId, HeldLease> leases = new ConcurrentHashMap<>();
     private final IntSupplier rosterSize;
     private final MonotonicClock clock;
 
@@ -41,7 +41,7 @@
      */
     public long leaseRequested(ClientAccountId account) {
         long now = clock.millis();
-        leases.putIfAbsent(account, new Held(0, now, now));
+        leases.putIfAbsent(account, new HeldLease(0, now, now));
         return now;
     }
 
@@ -50,25 +50,25 @@
      *
      * @param account the client account
      * @param share the share granted
-     * @param askedAtMillis when it was asked for
+     * @param requestedAtMillis when it was asked for
      */
-    public void leaseGranted(ClientAccountId account, double share, long askedAtMillis) {
-        leases.put(account, new Held(share, askedAtMillis + LimitLeaseIssuer.LEASE_MILLIS, clock.millis()));
+    public void leaseGranted(ClientAccountId account, double share, long requestedAtMillis) {
+        leases.put(account, new HeldLease(share, requestedAtMillis + LimitLeaseIssuer.LEASE_MILLIS, clock.millis()));
     }
 
     @Override
     public double share(ClientAccountId account) {
-        double part = 1.0 / Math.max(1, rosterSize.getAsInt());
-        Held held = leases.get(account);
+        double equalShare = 1.0 / Math.max(1, rosterSize.getAsInt());
+        HeldLease held = leases.get(account);
         if (held == null) {
-            return LimitLeaseIssuer.EQUAL_PART * part;
+            return LimitLeaseIssuer.UNLEASED_SHARE * equalShare;
         }
         long now = clock.millis();
-        if (now >= held.answeredMillis + 2 * LimitLeaseIssuer.LEASE_MILLIS) {
-            return part;
+        if (now >= held.repliedMillis + 2 * LimitLeaseIssuer.LEASE_MILLIS) {
+            return equalShare;
         }
         double leased = now < held.untilMillis ? held.share : 0;
-        return LimitLeaseIssuer.EQUAL_PART * part + leased;
+        return LimitLeaseIssuer.UNLEASED_SHARE * equalShare + leased;
     }
 
     /**
@@ -76,8 +76,8 @@
      *
      * @param idle the client accounts
      */
-    public void forget(Collection<ClientAccountId> idle) {
-        leases.keySet().removeAll(idle);
+    public void forget(Collection<ClientAccountId> idleAccounts) {
+        leases.keySet().removeAll(idleAccounts);
     }
 
     /**
@@ -94,7 +94,7 @@
      *
      * @param share the share
      * @param untilMillis when it ends, in the local clock
-     * @param answeredMillis when the home answered last, or was asked first
+     * @param repliedMillis when the home answered last, or was asked first
      */
-    private record Held(double share, long untilMillis, long answeredMillis) {}
+    private record HeldLease(double share, long untilMillis, long repliedMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/LimitLeaseIssuer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/LimitLeaseIssuer.java
@@ -22,13 +22,13 @@
     public static final long LEASE_MILLIS = 2_000;
 
     /** Part of a limit that is divided equally and never lent. */
-    public static final double EQUAL_PART = 0.25;
+    public static final double UNLEASED_SHARE = 0.25;
 
     /** Factor on the demand that a lease covers, as the demand may grow until the next lease. */
     private static final double HEADROOM = 2;
 
     /** Least share that is wanted, so that a lease always covers some growth. */
-    private static final double LEAST_SHARE = 0.01;
+    private static final double MIN_SHARE = 0.01;
 
     private final Map<ClientAccountId, Map<HostId, Lease>> leases = new HashMap<>();
     private final MonotonicClock clock;
@@ -51,23 +51,23 @@
      * @param visible the part of the roster that the home can see, 0 to 1
      * @return the share granted beside the router's equal part, until {@link #LEASE_MILLIS} from now
      */
-    public synchronized double lease(ClientAccountId account, HostId host, double need, double visible) {
+    public synchronized double lease(ClientAccountId account, HostId host, double demand, double visibleShare) {
         long now = clock.millis();
-        Map<HostId, Lease> running = leases.computeIfAbsent(account, id -> new HashMap<>());
-        running.values().removeIf(lease -> lease.untilMillis <= now);
-        double lendable = (1 - EQUAL_PART) * visible;
-        double wanted = Math.min(lendable, Math.max(LEAST_SHARE, HEADROOM * need));
+        Map<HostId, Lease> activeLeases = leases.computeIfAbsent(account, id -> new HashMap<>());
+        activeLeases.values().removeIf(lease -> lease.untilMillis <= now);
+        double leasableShare = (1 - UNLEASED_SHARE) * visibleShare;
+        double requestedShare = Math.min(leasableShare, Math.max(MIN_SHARE, HEADROOM * demand));
         double othersShare = 0;
-        double othersWanted = 0;
-        for (Map.Entry<HostId, Lease> entry : running.entrySet()) {
+        double othersRequestedShare = 0;
+        for (Map.Entry<HostId, Lease> entry : activeLeases.entrySet()) {
             if (!entry.getKey().equals(host)) {
                 othersShare += entry.getValue().share;
-                othersWanted += entry.getValue().wanted;
+                othersRequestedShare += entry.getValue().requestedShare;
             }
         }
-        double scale = Math.min(1, lendable / (wanted + othersWanted));
-        double share = Math.max(0, Math.min(wanted * scale, lendable - othersShare));
-        running.put(host, new Lease(share, wanted, now + LEASE_MILLIS));
+        double scale = Math.min(1, leasableShare / (requestedShare + othersRequestedShare));
+        double share = Math.max(0, Math.min(requestedShare * scale, leasableShare - othersShare));
+        activeLeases.put(host, new Lease(share, requestedShare, now + LEASE_MILLIS));
         return share;
     }
 
@@ -76,7 +76,7 @@
      */
     public synchronized void removeIdle() {
         long now = clock.millis();
-        leases.values().forEach(running -> running.values().removeIf(lease -> lease.untilMillis <= now));
+        leases.values().forEach(activeLeases -> activeLeases.values().removeIf(lease -> lease.untilMillis <= now));
         leases.values().removeIf(Map::isEmpty);
     }
 
@@ -101,5 +101,5 @@
      * @param wanted the share that was wanted
      * @param untilMillis when it ends, in the local clock
      */
-    private record Lease(double share, double wanted, long untilMillis) {}
+    private record Lease(double share, double requestedShare, long untilMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedDrain.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedDrain.java
@@ -29,17 +29,17 @@
         if (values.isEmpty()) {
             return authentic ? SERVING : ABSENT;
         }
-        AdvertisedDrain read = UNREADABLE;
+        AdvertisedDrain result = UNREADABLE;
         for (String value : values) {
             for (String part : value.split(",", -1)) {
                 AdvertisedDrain one = parseOne(part.trim().toLowerCase(Locale.ROOT));
                 if (one == DRAINING) {
                     return DRAINING;
                 }
-                read = one == SERVING ? SERVING : read;
+                result = one == SERVING ? SERVING : result;
             }
         }
-        return read;
+        return result;
     }
 
     /** Reads one value in lower case. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
@@ -9,9 +9,9 @@
 public final class RetryBudget {
 
     /** Retries that may be saved up. */
-    private static final double MOST_SAVED = 50;
+    private static final double MAX_BALANCE = 50;
 
-    private double saved = MOST_SAVED;
+    private double balance = MAX_BALANCE;
 
     /**
      * Notes a first attempt.
@@ -19,7 +19,7 @@
      * @param share retries that it earns
      */
     public synchronized void earn(double share) {
-        saved = Math.min(MOST_SAVED, saved + share);
+        balance = Math.min(MAX_BALANCE, balance + share);
     }
 
     /**
@@ -28,10 +28,10 @@
      * @return whether one was left
      */
     public synchronized boolean trySpend() {
-        if (saved < 1) {
+        if (balance < 1) {
             return false;
         }
-        saved--;
+        balance--;
         return true;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/WindowedRetryBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/WindowedRetryBudget.java
@@ -15,13 +15,13 @@
 public final class WindowedRetryBudget {
 
     /** Share of the allowance that is used, so that windows that slide differently on two clocks stay within it. */
-    private static final double USED_SHARE = 0.9;
+    private static final double SAFETY_FACTOR = 0.9;
 
     private final double ratio;
     private final long windowMillis;
     private final DoubleSupplier slackShare;
     private final Deque<Long> requests = new ArrayDeque<>();
-    private final Deque<Long> repeats = new ArrayDeque<>();
+    private final Deque<Long> retries = new ArrayDeque<>();
 
     /**
      * Creates a budget.
@@ -43,7 +43,7 @@
      */
     public void request(long nowMillis) {
         requests.addLast(nowMillis);
-        forget(nowMillis);
+        evictExpired(nowMillis);
     }
 
     /**
@@ -53,21 +53,21 @@
      * @return whether one was left
      */
     public boolean trySpend(long nowMillis) {
-        forget(nowMillis);
-        if (repeats.size() + 1 > USED_SHARE * (ratio * requests.size() + slackShare.getAsDouble())) {
+        evictExpired(nowMillis);
+        if (retries.size() + 1 > SAFETY_FACTOR * (ratio * requests.size() + slackShare.getAsDouble())) {
             return false;
         }
-        repeats.addLast(nowMillis);
+        retries.addLast(nowMillis);
         return true;
     }
 
     /** Forgets what lies before the window. */
-    private void forget(long nowMillis) {
+    private void evictExpired(long nowMillis) {
         while (!requests.isEmpty() && requests.peekFirst() <= nowMillis - windowMillis) {
             requests.removeFirst();
         }
-        while (!repeats.isEmpty() && repeats.peekFirst() <= nowMillis - windowMillis) {
-            repeats.removeFirst();
+        while (!retries.isEmpty() && retries.peekFirst() <= nowMillis - windowMillis) {
+            retries.removeFirst();
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
@@ -24,7 +24,7 @@
     private final AccountLimiter limiter = new AccountLimiter(account -> 1, clock);
 
     @Test
-    void admitsAPromptLongerThanTheBurstAndMakesTheNextWait() {
+    void admitsAPromptLongerThanTheBurstAndDelaysTheNext() {
         assertThat(limiter.admit(ACCOUNT, ORDINARY, 8_000)).isNull();
         Refusal refusal = limiter.admit(ACCOUNT, ORDINARY, 10);
         assertThat(refusal.reason()).isEqualTo(RefusalReason.RATE_LIMITED);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void boundsRunningRequests() {
+    void limitsConcurrentRequests() {
         for (int i = 0; i < 3; i++) {
             assertThat(limiter.admit(ACCOUNT, ORDINARY, 1)).isNull();
         }
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void tellsDemandOnce() {
+    void reportsDemandOnce() {
         limiter.admit(ACCOUNT, ORDINARY, 7);
         assertThat(limiter.drainDemand()).containsEntry(ACCOUNT.id(), 7L);
         assertThat(limiter.drainDemand()).isEmpty();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitHomeTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitLeaseIssuerTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-class LimitHomeTest {
+class LimitLeaseIssuerTest {
 
     private static final ClientAccountId ACCOUNT = new ClientAccountId("a");
     private static final int ROUTERS = 6;
@@ -32,32 +32,34 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void neverLendsMoreThanTheLimit(long seed) {
+    void neverLeasesMoreThanTheLimit(long seed) {
         Random random = new Random(seed);
-        LimitLeaseIssuer home = new LimitLeaseIssuer(clock);
+        LimitLeaseIssuer issuer = new LimitLeaseIssuer(clock);
         List<LeasedLimitShares> holders = new ArrayList<>();
         for (int i = 0; i < ROUTERS; i++) {
             holders.add(new LeasedLimitShares(() -> ROUTERS, clock));
         }
-        int cutOff = 0;
-        long cutAt = 0;
+        int disconnected = 0;
+        long disconnectedAtMillis = 0;
         for (int step = 0; step < 3_000; step++) {
             if (step % 700 == 699) {
-                cutOff = random.nextInt(ROUTERS);
-                cutAt = clock.millis();
+                disconnected = random.nextInt(ROUTERS);
+                disconnectedAtMillis = clock.millis();
             }
             int router = random.nextInt(ROUTERS);
             LeasedLimitShares holder = holders.get(router);
-            long asked = holder.leaseRequested(ACCOUNT);
+            long requestedAtMillis = holder.leaseRequested(ACCOUNT);
             clock.advanceMillis(random.nextInt(30));
-            boolean reached = router >= cutOff && random.nextInt(10) > 0;
-            if (reached) {
+            boolean delivered = router >= disconnected && random.nextInt(10) > 0;
+            if (delivered) {
                 // The home notices the cut before a cut-off router falls back to its equal part.
-                double visible = (double) (ROUTERS - cutOff) / ROUTERS;
+                double visible = (double) (ROUTERS - disconnected) / ROUTERS;
                 holder.leaseGranted(
-                        ACCOUNT, home.lease(ACCOUNT, new HostId("r" + router), random.nextDouble(), visible), asked);
+                        ACCOUNT,
+                        issuer.lease(ACCOUNT, new HostId("r" + router), random.nextDouble(), visible),
+                        requestedAtMillis);
             }
-            boolean settled = step < 699 || clock.millis() - cutAt > 2 * LimitLeaseIssuer.LEASE_MILLIS;
+            boolean settled = step < 699 || clock.millis() - disconnectedAtMillis > 2 * LimitLeaseIssuer.LEASE_MILLIS;
             double sum = holders.stream().mapToDouble(h -> h.share(ACCOUNT)).sum();
             if (settled) {
                 assertThat(sum).as("step %d", step).isLessThanOrEqualTo(1 + 1e-9);
@@ -66,19 +68,19 @@
     }
 
     @Test
-    void lendsNearlyAllToTheOnlyRouterWithTraffic() {
+    void leasesAllLeasableSharesToTheOnlyRouterWithTraffic() {
         double share = new LimitLeaseIssuer(clock).lease(ACCOUNT, new HostId("r0"), 1, 1);
-        assertThat(share).isEqualTo(1 - LimitLeaseIssuer.EQUAL_PART);
+        assertThat(share).isEqualTo(1 - LimitLeaseIssuer.UNLEASED_SHARE);
     }
 
     @Test
-    void sharesByNeedOnceLeasesWereRenewed() {
-        LimitLeaseIssuer home = new LimitLeaseIssuer(clock);
+    void dividesByDemandAfterLeasesWereRenewed() {
+        LimitLeaseIssuer issuer = new LimitLeaseIssuer(clock);
         double a = 0;
         double b = 0;
         for (int round = 0; round < 8; round++) {
-            a = home.lease(ACCOUNT, new HostId("r0"), 0.9, 1);
-            b = home.lease(ACCOUNT, new HostId("r1"), 0.3, 1);
+            a = issuer.lease(ACCOUNT, new HostId("r0"), 0.9, 1);
+            b = issuer.lease(ACCOUNT, new HostId("r1"), 0.3, 1);
             clock.advanceMillis(500);
         }
         assertThat(a + b).isCloseTo(0.75, within(1e-9));
@@ -86,7 +88,7 @@
     }
 
     @Test
-    void fallsBackToAnEqualPartWhenTheHomeIsSilent() {
+    void fallsBackToAnEqualShareWhenTheIssuerDoesNotReply() {
         LeasedLimitShares shares = new LeasedLimitShares(() -> ROUTERS, clock);
         shares.leaseGranted(ACCOUNT, 0.5, shares.leaseRequested(ACCOUNT));
         assertThat(shares.share(ACCOUNT)).isCloseTo(0.5 + 0.25 / ROUTERS, within(1e-9));
--- a/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedBackOffTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/notice/AdvertisedBackOffTest.java
@@ -10,7 +10,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StatedBackOffTest {
+class AdvertisedBackOffTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -29,25 +29,25 @@
                 "1, 3|3000",
                 "soon;2|2000"
             })
-    void readsSeconds(String values, long expectedMillis) {
+    void parsesSeconds(String values, long expectedMillis) {
         assertThat(AdvertisedBackOff.parse(Arrays.asList(values.split(";", -1))))
                 .isEqualTo(new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, expectedMillis));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "0.0", "0e5"})
-    void readsNoTimeAsNone(String value) {
+    void parsesZeroAsNoBackOff(String value) {
         assertThat(AdvertisedBackOff.parse(List.of(value))).isEqualTo(AdvertisedBackOff.ABSENT);
     }
 
     @Test
-    void readsAMissingFieldAsNone() {
+    void parsesAMissingFieldAsNoBackOff() {
         assertThat(AdvertisedBackOff.parse(List.of())).isEqualTo(AdvertisedBackOff.ABSENT);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-1", "soon", "3 s", "NaN", "true", "Thu, 03 Dec 2026 10:00:00 GMT"})
-    void readsWhatIsNoTimeInSecondsAsNeither(String value) {
+    void parsesOtherValuesAsUnreadable(String value) {
         assertThat(AdvertisedBackOff.parse(List.of(value))).isEqualTo(AdvertisedBackOff.UNREADABLE);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/notice/StatedDrainTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/notice/AdvertisedDrainTest.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StatedDrainTest {
+class AdvertisedDrainTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -35,7 +35,7 @@
                 "soon;0|SERVING",
                 "0,1|DRAINING"
             })
-    void readsEachValue(String values, AdvertisedDrain expected) {
+    void parsesValues(String values, AdvertisedDrain expected) {
         assertThat(AdvertisedDrain.parse(Arrays.asList(values.split(";", -1)), true))
                 .isEqualTo(expected);
         assertThat(AdvertisedDrain.parse(Arrays.asList(values.split(";", -1)), false))
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void takesAMissingFieldForServingOnlyInTheUpstreamsOwnAnswer() {
+    void parsesAMissingFieldAsServingOnlyInAnAuthenticResponse() {
         assertThat(AdvertisedDrain.parse(List.of(), true)).isEqualTo(AdvertisedDrain.SERVING);
         assertThat(AdvertisedDrain.parse(List.of(), false)).isEqualTo(AdvertisedDrain.ABSENT);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/retry/RetryPolicyTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/retry/RetryPolicyTest.java
@@ -14,7 +14,7 @@
 
     @ParameterizedTest
     @EnumSource(RefusalReason.class)
-    void neverRepeatsWhatMayHaveRunAndMustNotBeRepeated(RefusalReason reason) {
+    void neverRetriesAnUnrepeatableRequestThatMayHaveRun(RefusalReason reason) {
         assertThat(RetryPolicy.reasonToRetry(Refusal.unknown(reason), false, true))
                 .isNull();
         assertThat(RetryPolicy.reasonToRetry(Refusal.unknown(reason), true, false))
@@ -32,13 +32,13 @@
         "TIME_LIMIT, NOT_RUN, true,",
         "RATE_LIMITED, NOT_RUN, true,"
     })
-    void namesTheReasonToRepeat(RefusalReason reason, Outcome outcome, boolean repeatable, RetryReason expected) {
+    void returnsTheReasonToRetry(RefusalReason reason, Outcome outcome, boolean repeatable, RetryReason expected) {
         Refusal refusal = new Refusal(reason, outcome, 0, "");
         assertThat(RetryPolicy.reasonToRetry(refusal, repeatable, true)).isEqualTo(expected);
     }
 
     @Test
-    void boundsRetriesToAShareOfFreshTraffic() {
+    void limitsRetriesToAShareOfFirstAttempts() {
         RetryBudget budget = new RetryBudget();
         int spent = 0;
         for (int i = 0; i < 1_000; i++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
@@ -13,7 +13,7 @@
      * repeat every request. Cause: each router thought that the whole allowance was its own.
      */
     @Test
-    void keepsAllRoutersTogetherWithinTheAllowanceOfAnyWindow() {
+    void keepsAllRoutersTogetherWithinTheBudgetOfAWindow() {
         int routers = 7;
         WindowedRetryBudget[] budgets = new WindowedRetryBudget[routers];
         for (int i = 0; i < routers; i++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void forgetsWhatLiesBeforeTheWindow() {
+    void ignoresRetriesBeforeTheWindow() {
         WindowedRetryBudget budget = new WindowedRetryBudget(0.2, WINDOW_MILLIS, () -> 2);
         assertThat(budget.trySpend(0)).isTrue();
         assertThat(budget.trySpend(1)).isFalse();
