--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
@@ -10,10 +10,10 @@
 import org.apricotstack.core.id.ClientAccountId;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Keeps the token rate and the number of running requests of each client account within this router's share. */
+/** Limits the token rate and the concurrent requests of each client account to this router's share. */
 public final class AccountLimiter {
 
-    /** When to come back after a refusal for too many running requests, in milliseconds. */
+    /** Retry-after time of requests refused because of too many concurrent requests, in milliseconds. */
     private static final long CONCURRENCY_RETRY_MILLIS = 250;
 
     private final Map<ClientAccountId, AccountState> accounts = new ConcurrentHashMap<>();
@@ -32,12 +32,12 @@
     }
 
     /**
-     * Admits a request or refuses it. An admitted request must be given back with {@link #end}.
+     * Admits or refuses a request. Each admitted request must be released with {@link #end}.
      *
-     * @param account the client account as published
+     * @param account the client account's configuration
      * @param preset the preset in force
-     * @param tokens prompt tokens and the longest answer
-     * @return {@code null} if admitted, or why not
+     * @param tokens prompt tokens plus the maximum number of answer tokens
+     * @return the refusal, or {@code null} if the request is admitted
      */
     public Refusal admit(ClientAccount account, Preset preset, long tokens) {
         double share = shares.share(account.id());
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Ends an admitted request.
+     * Releases an admitted request.
      *
      * @param account the client account
-     * @param unusedTokens tokens that were admitted and not used
+     * @param unusedTokens admitted tokens that were not used
      */
     public void end(ClientAccountId account, long unusedTokens) {
         AccountState state = accounts.get(account);
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Returns and clears the demand since the last call, so that the home of the limits can share them out.
+     * Returns the demand since the last call, so that the lease issuers can divide the limits.
      *
-     * @return tokens asked for, admitted or not, for each client account with any
+     * @return requested tokens, admitted or refused, of each client account with demand
      */
     public Map<ClientAccountId, Long> drainDemand() {
         Map<ClientAccountId, Long> demand = new ConcurrentHashMap<>();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/ByteBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/ByteBudget.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bounds the bytes that a process holds for requests, so that a refusal comes before memory runs out. */
+/** Limits the memory that a process uses for requests, so that requests are refused before memory runs out. */
 public final class ByteBudget {
 
     private final long capacityBytes;
@@ -11,7 +11,7 @@
     /**
      * Creates a budget.
      *
-     * @param capacityBytes bytes that may be held at once
+     * @param capacityBytes maximum number of reserved bytes
      */
     public ByteBudget(long capacityBytes) {
         this.capacityBytes = capacityBytes;
@@ -20,8 +20,8 @@
     /**
      * Reserves bytes.
      *
-     * @param bytes how many
-     * @return whether they fit
+     * @param bytes number of bytes
+     * @return whether they were reserved
      */
     public boolean tryReserve(long bytes) {
         long held = heldBytes.addAndGet(bytes);
@@ -33,18 +33,18 @@
     }
 
     /**
-     * Gives bytes back.
+     * Releases bytes.
      *
-     * @param bytes as many as were reserved
+     * @param bytes number of bytes that were reserved
      */
     public void release(long bytes) {
         heldBytes.addAndGet(-bytes);
     }
 
     /**
-     * Returns what is held.
+     * Returns the reserved bytes.
      *
-     * @return bytes
+     * @return number of bytes
      */
     public long heldBytes() {
         return heldBytes.get();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
@@ -10,11 +10,11 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Holds the shares that this router leased from the homes of the limits.
+ * The limit shares that this router has leased from the lease issuers.
  *
- * <p>A router uses its equal part of what is never lent, and its lease. If the home of an account has not answered
- * for two lease times, the router takes its equal part of the whole limit instead: the home then no longer lends
- * that part, since it does not see this router either, and every lease from before has ended.
+ * <p>A router uses its equal share of the unleased part, plus its lease. If the issuer of an account has not replied
+ * for two lease times, the router falls back to an equal share of the whole limit. By then the issuer no longer leases
+ * that share, as it is not connected to this router either, and all earlier leases have expired.
  */
 public final class LeasedLimitShares implements LimitShares {
 
@@ -23,9 +23,9 @@
     private final MonotonicClock clock;
 
     /**
-     * Creates a holder without leases.
+     * Creates an instance without leases.
      *
-     * @param rosterSize routers on the roster
+     * @param rosterSize number of routers on the roster
      * @param clock the local clock
      */
     public LeasedLimitShares(IntSupplier rosterSize, MonotonicClock clock) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Notes that a lease is asked for.
+     * Records a lease request.
      *
      * @param account the client account
-     * @return when, in milliseconds of the local clock; a grant counts from then
+     * @return the time of the request, in milliseconds of the local clock, from which the lease is valid
      */
     public long leaseRequested(ClientAccountId account) {
         long now = clock.millis();
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Takes a granted lease.
+     * Records a granted lease.
      *
      * @param account the client account
-     * @param share the share granted
-     * @param requestedAtMillis when it was asked for
+     * @param share the granted share
+     * @param requestedAtMillis time of the request, in milliseconds of the local clock
      */
     public void leaseGranted(ClientAccountId account, double share, long requestedAtMillis) {
         leases.put(account, new HeldLease(share, requestedAtMillis + LimitLeaseIssuer.LEASE_MILLIS, clock.millis()));
@@ -72,16 +72,16 @@
     }
 
     /**
-     * Forgets accounts that have had no traffic, so that memory follows the traffic.
+     * Removes accounts without traffic, so that memory use is proportional to the accounts with traffic.
      *
-     * @param idle the client accounts
+     * @param idleAccounts the client accounts without traffic
      */
     public void forget(Collection<ClientAccountId> idleAccounts) {
         leases.keySet().removeAll(idleAccounts);
     }
 
     /**
-     * Returns the accounts of which leases are held.
+     * Returns the accounts with leases.
      *
      * @return client accounts
      */
@@ -90,11 +90,11 @@
     }
 
     /**
-     * A lease as this router holds it.
+     * A lease held by this router.
      *
-     * @param share the share
-     * @param untilMillis when it ends, in the local clock
-     * @param repliedMillis when the home answered last, or was asked first
+     * @param share the leased share
+     * @param untilMillis expiry time, in milliseconds of the local clock
+     * @param repliedMillis time of the issuer's last reply, or of the first request
      */
     private record HeldLease(double share, long untilMillis, long repliedMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/LimitLeaseIssuer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/LimitLeaseIssuer.java
@@ -8,33 +8,33 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Lends parts of the limits of the client accounts whose home this router is.
+ * Leases shares of the limits of the client accounts for which this router is responsible.
  *
- * <p>A quarter of each limit belongs to the routers of the roster in equal parts and is never lent, so that a
- * router that gets its first request of an account can take it at once. The rest is lent for a short time to
- * routers with traffic, as much as they need with some headroom, and in proportion to need if that is more than
- * there is. The sum of all parts in use never passes the limit: the home keeps back a full equal part for each
- * router that it cannot see, because such a router falls back to that.
+ * <p>A quarter of each limit is divided equally among the routers on the roster and is never leased, so that a router
+ * can admit its first request of an account at once. The rest is leased for a short time to routers with traffic,
+ * according to their demand with some headroom, and in proportion to demand if the total exceeds the limit. The sum of
+ * all shares in use never exceeds the limit: the issuer reserves a full equal share for each router to which it is not
+ * connected, because such a router falls back to that share.
  */
 public final class LimitLeaseIssuer {
 
     /** How long a lease is valid, in milliseconds. */
     public static final long LEASE_MILLIS = 2_000;
 
-    /** Part of a limit that is divided equally and never lent. */
+    /** Part of a limit that is divided equally and never leased. */
     public static final double UNLEASED_SHARE = 0.25;
 
-    /** Factor on the demand that a lease covers, as the demand may grow until the next lease. */
+    /** Factor by which a lease exceeds the demand, as the demand may grow until the next lease. */
     private static final double HEADROOM = 2;
 
-    /** Least share that is wanted, so that a lease always covers some growth. */
+    /** Minimum requested share, so that a lease always covers some growth. */
     private static final double MIN_SHARE = 0.01;
 
     private final Map<ClientAccountId, Map<HostId, Lease>> leases = new HashMap<>();
     private final MonotonicClock clock;
 
     /**
-     * Creates a home without leases.
+     * Creates an issuer without leases.
      *
      * @param clock the local clock
      */
@@ -46,10 +46,10 @@
      * Grants a lease.
      *
      * @param account the client account
-     * @param host the router that asks
-     * @param need tokens a second that it was asked for, as a share of the limit
-     * @param visible the part of the roster that the home can see, 0 to 1
-     * @return the share granted beside the router's equal part, until {@link #LEASE_MILLIS} from now
+     * @param host the requesting router
+     * @param demand its demand in tokens per second, as a share of the limit
+     * @param visibleShare share of the routers on the roster to which this issuer is connected, 0 to 1
+     * @return the share granted in addition to the router's equal share, valid for {@link #LEASE_MILLIS}
      */
     public synchronized double lease(ClientAccountId account, HostId host, double demand, double visibleShare) {
         long now = clock.millis();
@@ -71,9 +71,7 @@
         return share;
     }
 
-    /**
-     * Forgets accounts whose leases have all ended, so that memory follows the traffic.
-     */
+    /** Removes accounts without active leases, so that memory use is proportional to the accounts with traffic. */
     public synchronized void removeIdle() {
         long now = clock.millis();
         leases.values().forEach(activeLeases -> activeLeases.values().removeIf(lease -> lease.untilMillis <= now));
@@ -81,7 +79,7 @@
     }
 
     /**
-     * Returns the sum of the running leases of an account.
+     * Returns the sum of the active leases of an account.
      *
      * @param account the client account
      * @return the sum of the shares
@@ -95,11 +93,11 @@
     }
 
     /**
-     * A granted share.
+     * A lease of a share.
      *
-     * @param share 0 to 1
-     * @param wanted the share that was wanted
-     * @param untilMillis when it ends, in the local clock
+     * @param share the granted share, 0 to 1
+     * @param requestedShare the requested share
+     * @param untilMillis expiry time, in milliseconds of the local clock
      */
     private record Lease(double share, double requestedShare, long untilMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/TokenBucket.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/TokenBucket.java
@@ -3,11 +3,12 @@
 import org.apricotstack.core.time.Deadline;
 
 /**
- * A token bucket that may go into debt: a request passes if the balance is positive, and then takes its whole cost.
+ * A token bucket that may go into debt: a request is admitted if the balance is positive, and is then charged its whole
+ * cost.
  *
- * <p>A bucket without debt would never admit a prompt that is longer than its burst, and this router's share of the
- * burst may be smaller than the longest prompts. With debt the mean rate still holds, as the next request waits
- * until the debt is worked off.
+ * <p>Without debt the bucket would never admit a prompt that is longer than the burst, and this router's share of the
+ * burst may be smaller than the longest prompts. The mean rate is still enforced, as the next request has to wait until
+ * the debt is repaid.
  */
 public final class TokenBucket {
 
@@ -19,7 +20,7 @@
     /**
      * Creates a full bucket.
      *
-     * @param burst most that it holds, in tokens
+     * @param burst capacity, in tokens
      * @param nowNanos the local clock
      */
     public TokenBucket(double burst, long nowNanos) {
@@ -28,13 +29,13 @@
     }
 
     /**
-     * Takes the cost of a request.
+     * Charges the cost of a request.
      *
-     * @param cost its cost in tokens
-     * @param perSecond rate at which the bucket fills
-     * @param burst most that it holds
+     * @param cost cost, in tokens
+     * @param perSecond refill rate, in tokens per second
+     * @param burst capacity, in tokens
      * @param nowNanos the local clock
-     * @return 0 if the request passes, or the milliseconds until one can
+     * @return 0 if the request is admitted, otherwise the milliseconds until one can be admitted
      */
     public long take(double cost, double perSecond, double burst, long nowNanos) {
         double elapsedMillis = (double) (nowNanos - lastNanos) / Deadline.NANOS_PER_MILLI;
@@ -50,7 +51,7 @@
         return (long) Math.ceil(-balance * MILLIS_PER_SECOND / perSecond) + 1;
     }
 
-    /** Gives back what a request did not use. */
+    /** Refunds unused tokens of a request. */
     void giveBack(double tokens) {
         balance += tokens;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
@@ -4,40 +4,40 @@
 import java.util.regex.Pattern;
 
 /**
- * How long one answer of an upstream asks the router that it turns away to send it nothing.
+ * The back-off that one response of an upstream requests from the router whose request it rejects.
  *
- * @param kind whether it asks for that
- * @param millis for how long, in milliseconds; 0 unless it asks
+ * @param kind whether the response requests a back-off
+ * @param millis duration, in milliseconds; 0 unless a back-off is requested
  */
 public record AdvertisedBackOff(Kind kind, long millis) {
 
-    /** The answer asks for nothing. */
+    /** No back-off is requested. */
     public static final AdvertisedBackOff ABSENT = new AdvertisedBackOff(Kind.ABSENT, 0);
 
-    /** The answer asks for something that is no time. */
+    /** The value is not a valid duration. */
     public static final AdvertisedBackOff UNREADABLE = new AdvertisedBackOff(Kind.UNREADABLE, 0);
 
-    /** Longest time that is kept to, in milliseconds: one value must not end the use of an upstream for good. */
+    /** Maximum duration, in milliseconds: a single value must not exclude an upstream permanently. */
     public static final long MAX_MILLIS = 3_600_000;
 
     private static final Pattern DECIMAL = Pattern.compile("\\d{1,30}(\\.\\d{0,30})?([eE][+-]?\\d{1,9})?");
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Whether an answer asks for a back-off. */
+    /** Whether a response requests a back-off. */
     public enum Kind {
-        /** It asks for none. */
+        /** No back-off is requested. */
         ABSENT,
-        /** It asks for something that is no time in seconds. */
+        /** The value is not a duration in seconds. */
         UNREADABLE,
-        /** It asks for one. */
+        /** A back-off is requested. */
         PRESENT
     }
 
     /**
-     * Reads the values of the field that asks for a back-off, in seconds. Of several values the greatest one counts.
+     * Parses the values of the back-off field, in seconds. Of several values the greatest one applies.
      *
-     * @param values the field's values in an answer; empty if it lacks the field
-     * @return what they say
+     * @param values the values of the field in a response; empty if the field is missing
+     * @return the requested back-off
      */
     public static AdvertisedBackOff parse(List<String> values) {
         if (values.isEmpty()) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedDrain.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedDrain.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** What one answer of an upstream says of its leaving. */
+/** The drain state that one response of an upstream advertises. */
 public enum AdvertisedDrain {
-    /** Nothing: the field is missing in an answer that need not be the upstream's own. */
+    /** Unknown: the field is missing in a response that may not originate from the upstream itself. */
     ABSENT,
-    /** The upstream takes requests: its own answer lacks the field, or denies it. */
+    /** The upstream accepts requests: the field is false, or missing in a response of the upstream itself. */
     SERVING,
-    /** The upstream leaves and wants no new requests. */
+    /** The upstream is draining and accepts no new requests. */
     DRAINING,
-    /** The field has a value that says neither. */
+    /** The value of the field is not valid. */
     UNREADABLE;
 
     private static final Pattern NUMBER = Pattern.compile("\\+?\\d{1,30}(\\.\\d{0,30})?([eE][+-]?\\d{1,9})?");
     private static final Pattern ZERO = Pattern.compile("\\+?0{1,30}(\\.0{0,30})?([eE][+-]?\\d{1,9})?");
 
     /**
-     * Reads the values of the field that announces a drain. If several differ, a drain counts before a denial.
+     * Parses the values of the drain field. If several values differ, draining takes precedence.
      *
-     * @param values the field's values in an answer; empty if it lacks the field
-     * @param authentic whether the answer is proven to be the upstream's own
-     * @return what they say
+     * @param values the values of the field in a response; empty if the field is missing
+     * @param authentic whether the response is proven to originate from the upstream itself
+     * @return the advertised drain state
      */
     public static AdvertisedDrain parse(List<String> values, boolean authentic) {
         if (values.isEmpty()) {
@@ -42,7 +42,7 @@
         return result;
     }
 
-    /** Reads one value in lower case. */
+    /** Parses one value in lower case. */
     private static AdvertisedDrain parseOne(String value) {
         if (value.equals("false") || ZERO.matcher(value).matches()) {
             return SERVING;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/UpstreamNotice.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/UpstreamNotice.java
@@ -3,15 +3,15 @@
 import org.apricotstack.core.ratelimit.AdvertisedLimit;
 
 /**
- * All that the head of one answer says of the upstream that gave it.
+ * The state of an upstream that the head of one of its responses advertises.
  *
- * @param limit its rate limit
- * @param drain whether it leaves
- * @param backOff how long it wants nothing from this router
+ * @param limit the rate limit
+ * @param drain the drain state
+ * @param backOff the back-off requested from this router
  */
 public record UpstreamNotice(AdvertisedLimit limit, AdvertisedDrain drain, AdvertisedBackOff backOff) {
 
-    /** An answer that says nothing of its upstream. */
+    /** A response that advertises nothing. */
     public static final UpstreamNotice NONE =
             new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/package-info.java
@@ -1,2 +1,2 @@
-/** What the answers of an upstream say of the upstream itself. */
+/** The state that upstreams advertise in the heads of their responses. */
 package org.apricotstack.core.notice;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
@@ -1,31 +1,31 @@
 package org.apricotstack.core.retry;
 
 /**
- * Bounds retries to a share of fresh traffic.
+ * Limits retries to a share of the first attempts.
  *
- * <p>When a whole group fails, each request would otherwise take several attempts, and the groups that are left
- * would get a multiple of the traffic and fail too.
+ * <p>Without a budget each request would take several attempts when a whole group fails, and the remaining groups would
+ * receive a multiple of the traffic and fail too.
  */
 public final class RetryBudget {
 
-    /** Retries that may be saved up. */
+    /** Maximum number of unused retries that accumulate. */
     private static final double MAX_BALANCE = 50;
 
     private double balance = MAX_BALANCE;
 
     /**
-     * Notes a first attempt.
+     * Records a first attempt.
      *
-     * @param share retries that it earns
+     * @param share number of retries added to the budget
      */
     public synchronized void earn(double share) {
         balance = Math.min(MAX_BALANCE, balance + share);
     }
 
     /**
-     * Takes one retry.
+     * Takes one retry from the budget.
      *
-     * @return whether one was left
+     * @return whether the budget allows it
      */
     public synchronized boolean trySpend() {
         if (balance < 1) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryPolicy.java
@@ -4,8 +4,8 @@
 import org.apricotstack.core.failure.Refusal;
 
 /**
- * Decides whether a failed attempt may be followed by another. The entry router is the only place where attempts are
- * repeated, so that layers do not multiply each other's retries.
+ * Decides whether a failed attempt may be retried. Only the entry router retries attempts, so that layers do not
+ * multiply each other's retries.
  */
 public final class RetryPolicy {
 
@@ -14,10 +14,10 @@
     /**
      * Classifies a failed attempt.
      *
-     * @param refusal why it failed
-     * @param repeatable whether running the work twice is harmless
-     * @param continuable whether nothing of the answer was passed on, or another engine can continue it
-     * @return the reason for another attempt, or {@code null} if there must be none
+     * @param refusal the reason and outcome of the failed attempt
+     * @param repeatable whether the request may run twice without harm
+     * @param continuable whether no part of the answer was forwarded, or another engine can continue it
+     * @return the reason for a retry; {@code null} if the attempt must not be retried
      */
     public static RetryReason reasonToRetry(Refusal refusal, boolean repeatable, boolean continuable) {
         if (refusal.outcome() == Outcome.UNKNOWN && !(repeatable && continuable)) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/WindowedRetryBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/WindowedRetryBudget.java
@@ -5,16 +5,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Keeps one router's share of the number of repeated sends that a service may get in a sliding window.
+ * One router's share of the retries that a service may receive in a sliding window.
  *
- * <p>What goes wrong without it: when many upstreams fail, each request is sent twice, and the upstreams that are left
- * get a multiple of the traffic. All routers together must stay below {@code ratio} times the service's requests plus a
- * slack. Each keeps to its own requests and an even part of the slack, so the bound also holds when routers cannot hear
- * each other.
+ * <p>Without a budget each request would be sent twice when many upstreams fail, and the remaining upstreams would
+ * receive a multiple of the traffic. All routers together must stay below {@code ratio} times the service's requests
+ * plus a slack. Each router counts only its own requests and uses an equal share of the slack, so the bound also holds
+ * when routers are disconnected from each other.
  */
 public final class WindowedRetryBudget {
 
-    /** Share of the allowance that is used, so that windows that slide differently on two clocks stay within it. */
+    /** Share of the budget that is used, so that the bound also holds for windows measured by other clocks. */
     private static final double SAFETY_FACTOR = 0.9;
 
     private final double ratio;
@@ -26,9 +26,10 @@
     /**
      * Creates a budget.
      *
-     * @param ratio repeats allowed for each request
+     * @param ratio retries allowed per request
      * @param windowMillis length of the sliding window, in milliseconds
-     * @param slackShare repeats in a window that this router may make beyond the ratio; falls as more routers are known
+     * @param slackShare retries per window that this router may send beyond the ratio; decreases with the number of
+     *     known routers
      */
     public WindowedRetryBudget(double ratio, long windowMillis, DoubleSupplier slackShare) {
         this.ratio = ratio;
@@ -37,7 +38,7 @@
     }
 
     /**
-     * Notes the first send of a request.
+     * Records the first send of a request.
      *
      * @param nowMillis the time
      */
@@ -47,10 +48,10 @@
     }
 
     /**
-     * Takes one repeat.
+     * Takes one retry from the budget.
      *
      * @param nowMillis the time
-     * @return whether one was left
+     * @return whether the budget allows it
      */
     public boolean trySpend(long nowMillis) {
         evictExpired(nowMillis);
@@ -61,7 +62,7 @@
         return true;
     }
 
-    /** Forgets what lies before the window. */
+    /** Removes entries that are older than the window. */
     private void evictExpired(long nowMillis) {
         while (!requests.isEmpty() && requests.peekFirst() <= nowMillis - windowMillis) {
             requests.removeFirst();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The decision whether a failed attempt may be followed by another.
- */
+/** Policies and budgets for retrying failed attempts. */
 package org.apricotstack.core.retry;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitLeaseIssuerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/LimitLeaseIssuerTest.java
@@ -22,13 +22,13 @@
     private final TestClock clock = new TestClock();
 
     /**
-     * Symptom: a client account gets more than its limit over the whole fleet.
+     * Guards against a client account that exceeds its limit across the whole fleet.
      *
-     * <p>Sequence of events: routers ask for leases at random moments with random need, some answers are lost, and
-     * some routers are cut off from the home, which then sees fewer routers.
+     * <p>Routers request leases at random times with random demand, some replies are lost, and some routers are
+     * disconnected from the issuer, which then counts fewer routers.
      *
-     * <p>Cause to be excluded: shares in use that sum to more than one, at any moment later than two lease times
-     * after a split begins or heals.
+     * <p>The shares in use must not sum to more than 1 at any time later than two lease times after a partition starts
+     * or heals.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -52,7 +52,7 @@
             clock.advanceMillis(random.nextInt(30));
             boolean delivered = router >= disconnected && random.nextInt(10) > 0;
             if (delivered) {
-                // The home notices the cut before a cut-off router falls back to its equal part.
+                // The issuer detects the partition before a disconnected router falls back to its equal share.
                 double visible = (double) (ROUTERS - disconnected) / ROUTERS;
                 holder.leaseGranted(
                         ACCOUNT,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
@@ -9,8 +9,8 @@
     private static final long WINDOW_MILLIS = 10_000;
 
     /**
-     * Symptom: upstreams that were left got a multiple of the traffic. Sequence: many upstreams fail, seven routers
-     * repeat every request. Cause: each router thought that the whole allowance was its own.
+     * Guards against overloading the remaining upstreams when many upstreams fail and seven routers retry every
+     * request: each router used the budget of the whole fleet.
      */
     @Test
     void keepsAllRoutersTogetherWithinTheBudgetOfAWindow() {
