--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
@@ -10,13 +10,13 @@
 import org.apricotstack.core.id.ClientAccountId;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Keeps the token rate and the number of running requests of each client account within this router's share. */
+/** Limits the token rate and the concurrent requests of each client account to this router's share. */
 public final class AccountLimiter {
 
-    /** When to come back after a refusal for too many running requests, in milliseconds. */
+    /** Retry-after time of requests refused because of too many concurrent requests, in milliseconds. */
     private static final long CONCURRENCY_RETRY_MILLIS = 250;
 
-    private final Map<ClientAccountId, Account> accounts = new ConcurrentHashMap<>();
+    private final Map<ClientAccountId, AccountState> accounts = new ConcurrentHashMap<>();
     private final LimitShares shares;
     private final MonotonicClock clock;
 
@@ -32,21 +32,21 @@
     }
 
     /**
-     * Admits a request or refuses it. An admitted request must be given back with {@link #end}.
+     * Admits or refuses a request. Each admitted request must be released with {@link #end}.
      *
-     * @param account the client account as published
+     * @param account the client account's configuration
      * @param preset the preset in force
-     * @param tokens prompt tokens and the longest answer
-     * @return {@code null} if admitted, or why not
+     * @param tokens prompt tokens plus the maximum number of answer tokens
+     * @return the refusal, or {@code null} if the request is admitted
      */
     public Refusal admit(ClientAccount account, Preset preset, long tokens) {
         double share = shares.share(account.id());
-        Account state = accounts.computeIfAbsent(
-                account.id(), id -> new Account(new TokenBucket(account.burstTokens() * share, clock.nanos())));
+        AccountState state = accounts.computeIfAbsent(
+                account.id(), id -> new AccountState(new TokenBucket(account.burstTokens() * share, clock.nanos())));
         synchronized (state) {
             state.demandTokens += tokens;
-            int concurrent = (int) Math.max(1, Math.ceil(account.maxConcurrent() * share));
-            if (state.running >= concurrent) {
+            int maxConcurrent = (int) Math.max(1, Math.ceil(account.maxConcurrent() * share));
+            if (state.running >= maxConcurrent) {
                 return Refusal.notRun(RefusalReason.CONCURRENCY_LIMITED, CONCURRENCY_RETRY_MILLIS);
             }
             double rate = account.tokensPerSecond() * share * preset.limitFactor();
@@ -60,13 +60,13 @@
     }
 
     /**
-     * Ends an admitted request.
+     * Releases an admitted request.
      *
      * @param account the client account
-     * @param unusedTokens tokens that were admitted and not used
+     * @param unusedTokens admitted tokens that were not used
      */
     public void end(ClientAccountId account, long unusedTokens) {
-        Account state = accounts.get(account);
+        AccountState state = accounts.get(account);
         synchronized (state) {
             state.running--;
             state.bucket.giveBack(Math.max(0, unusedTokens));
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Returns and clears the demand since the last call, so that the home of the limits can share them out.
+     * Returns the demand since the last call, so that the lease issuers can divide the limits.
      *
-     * @return tokens asked for, admitted or not, for each client account with any
+     * @return requested tokens, admitted or refused, of each client account with demand
      */
     public Map<ClientAccountId, Long> drainDemand() {
         Map<ClientAccountId, Long> demand = new ConcurrentHashMap<>();
@@ -92,13 +92,13 @@
     }
 
     /** The state of one client account at this router. */
-    private static final class Account {
+    private static final class AccountState {
         private final TokenBucket bucket;
         private int running;
         private long demandTokens;
 
         /** Creates the state of an account without requests. */
-        private Account(TokenBucket bucket) {
+        private AccountState(TokenBucket bucket) {
             this.bucket = bucket;
         }
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/LeasedLimitShares.java
@@ -10,22 +10,22 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Holds the shares that this router leased from the homes of the limits.
+ * The limit shares that this router has leased from the lease issuers.
  *
- * <p>A router uses its equal part of what is never lent, and its lease. If the home of an account has not answered
- * for two lease times, the router takes its equal part of the whole limit instead: the home then no longer lends
- * that part, since it does not see this router either, and every lease from before has ended.
+ * <p>A router uses its equal share of the unleased part, plus its lease. If the issuer of an account has not replied
+ * for two lease times, the router falls back to an equal share of the whole limit. By then the issuer no longer leases
+ * that share, as it is not connected to this router either, and all earlier leases have expired.
  */
 public final class LeasedLimitShares implements LimitShares {
 
-    private final Map<ClientAccountId, Held> leases = new ConcurrentHashMap<>();
+    private final Map<ClientAccountId, HeldLease> leases = new ConcurrentHashMap<>();
     private final IntSupplier rosterSize;
     private final MonotonicClock clock;
 
     /**
-     * Creates a holder without leases.
+     * Creates an instance without leases.
      *
-     * @param rosterSize routers on the roster
+     * @param rosterSize number of routers on the roster
      * @param clock the local clock
      */
     public LeasedLimitShares(IntSupplier rosterSize, MonotonicClock clock) {
@@ -34,54 +34,54 @@
     }
 
     /**
-     * Notes that a lease is asked for.
+     * Records a lease request.
      *
      * @param account the client account
-     * @return when, in milliseconds of the local clock; a grant counts from then
+     * @return the time of the request, in milliseconds of the local clock, from which the lease is valid
      */
     public long leaseRequested(ClientAccountId account) {
         long now = clock.millis();
-        leases.putIfAbsent(account, new Held(0, now, now));
+        leases.putIfAbsent(account, new HeldLease(0, now, now));
         return now;
     }
 
     /**
-     * Takes a granted lease.
+     * Records a granted lease.
      *
      * @param account the client account
-     * @param share the share granted
-     * @param askedAtMillis when it was asked for
+     * @param share the granted share
+     * @param requestedAtMillis time of the request, in milliseconds of the local clock
      */
-    public void leaseGranted(ClientAccountId account, double share, long askedAtMillis) {
-        leases.put(account, new Held(share, askedAtMillis + LimitLeaseIssuer.LEASE_MILLIS, clock.millis()));
+    public void leaseGranted(ClientAccountId account, double share, long requestedAtMillis) {
+        leases.put(account, new HeldLease(share, requestedAtMillis + LimitLeaseIssuer.LEASE_MILLIS, clock.millis()));
     }
 
     @Override
     public double share(ClientAccountId account) {
-        double part = 1.0 / Math.max(1, rosterSize.getAsInt());
-        Held held = leases.get(account);
+        double equalShare = 1.0 / Math.max(1, rosterSize.getAsInt());
+        HeldLease held = leases.get(account);
         if (held == null) {
-            return LimitLeaseIssuer.EQUAL_PART * part;
+            return LimitLeaseIssuer.UNLEASED_SHARE * equalShare;
         }
         long now = clock.millis();
-        if (now >= held.answeredMillis + 2 * LimitLeaseIssuer.LEASE_MILLIS) {
-            return part;
+        if (now >= held.repliedMillis + 2 * LimitLeaseIssuer.LEASE_MILLIS) {
+            return equalShare;
         }
         double leased = now < held.untilMillis ? held.share : 0;
-        return LimitLeaseIssuer.EQUAL_PART * part + leased;
+        return LimitLeaseIssuer.UNLEASED_SHARE * equalShare + leased;
     }
 
     /**
-     * Forgets accounts that have had no traffic, so that memory follows the traffic.
+     * Removes accounts without traffic, so that memory use is proportional to the accounts with traffic.
      *
-     * @param idle the client accounts
+     * @param idleAccounts the client accounts without traffic
      */
-    public void forget(Collection<ClientAccountId> idle) {
-        leases.keySet().removeAll(idle);
+    public void forget(Collection<ClientAccountId> idleAccounts) {
+        leases.keySet().removeAll(idleAccounts);
     }
 
     /**
-     * Returns the accounts of which leases are held.
+     * Returns the accounts with leases.
      *
      * @return client accounts
      */
@@ -90,11 +90,11 @@
     }
 
     /**
-     * A lease as this router holds it.
+     * A lease held by this router.
      *
-     * @param share the share
-     * @param untilMillis when it ends, in the local clock
-     * @param answeredMillis when the home answered last, or was asked first
+     * @param share the leased share
+     * @param untilMillis expiry time, in milliseconds of the local clock
+     * @param repliedMillis time of the issuer's last reply, or of the first request
      */
-    private record Held(double share, long untilMillis, long answeredMillis) {}
+    private record HeldLease(double share, long untilMillis, long repliedMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
@@ -6,91 +6,97 @@
 import org.apricotstack.core.id.HostId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** The part of a router that keeps limits for all routers that ask it. */
+/** Answers permit requests of all routers, for the upstreams whose permit issuer is this router. */
 public final class PermitIssuerService {
 
-    /** Time after which a router that asked the wrong one asks again, in milliseconds; both hear of more till then. */
-    private static final long NOT_HERE_MILLIS = 200;
+    /**
+     * Retry time of a router that requested permits from a router that is not the issuer, in milliseconds; by then both
+     * have received further heartbeats.
+     */
+    private static final long NOT_ISSUER_RETRY_MILLIS = 200;
 
     private final HostId own;
     private final LimitTable table;
-    private final Function<UpstreamId, PermitIssuerSelector> choice;
+    private final Function<UpstreamId, PermitIssuerSelector> selector;
     private final LongSupplier clockMillis;
-    private final LimitKeeper keeper = new LimitKeeper();
+    private final PermitIssuer permitIssuer = new PermitIssuer();
 
     /**
-     * Creates a part that has kept no limit.
+     * Creates a service without balances.
      *
      * @param own this router
-     * @param table the limits that hold
-     * @param choice who keeps the limit of an upstream, as this router sees it
+     * @param table the limits in force
+     * @param selector selects the permit issuer of an upstream, as seen by this router
      * @param clockMillis the time, in milliseconds
      */
     public PermitIssuerService(
-            HostId own, LimitTable table, Function<UpstreamId, PermitIssuerSelector> choice, LongSupplier clockMillis) {
+            HostId own,
+            LimitTable table,
+            Function<UpstreamId, PermitIssuerSelector> selector,
+            LongSupplier clockMillis) {
         this.own = own;
         this.table = table;
-        this.choice = choice;
+        this.selector = selector;
         this.clockMillis = clockMillis;
     }
 
     /**
-     * Returns who keeps the limit of an upstream.
+     * Returns the permit issuer of an upstream.
      *
      * @param upstream the upstream
-     * @return the keeper as this router sees it
+     * @return the issuer as seen by this router
      */
     public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
-        return choice.apply(upstream);
+        return selector.apply(upstream);
     }
 
     /**
-     * Tells whether this router keeps a limit.
+     * Tells whether this router is the permit issuer.
      *
-     * @param kept the keeper as this router sees it
-     * @return whether it is this one
+     * @param issuer the issuer as seen by this router
+     * @return whether it is this router
      */
-    public boolean isThisRouter(PermitIssuerSelector kept) {
-        return own.equals(kept.host());
+    public boolean isThisRouter(PermitIssuerSelector issuer) {
+        return own.equals(issuer.host());
     }
 
     /**
-     * Answers a router that asks for permits, this one too.
+     * Answers a permit request of a router, possibly this one.
      *
      * @param upstream the limited upstream
-     * @param wanted permits that can be used soon
-     * @param charged requests that were sent without a permit
-     * @return the permits
+     * @param wanted number of permits that the router can use soon
+     * @param charged number of requests that were sent without a permit
+     * @return the permits and the retry time
      */
     public PermitGrant answer(UpstreamId upstream, int wanted, int charged) {
-        PermitIssuerSelector kept = choice.apply(upstream);
+        PermitIssuerSelector issuer = selector.apply(upstream);
         RateLimit limit = table.find(upstream);
         if (limit == null) {
             return new PermitGrant(0, 0);
         }
-        if (!isThisRouter(kept)) {
-            return new PermitGrant(0, NOT_HERE_MILLIS);
+        if (!isThisRouter(issuer)) {
+            return new PermitGrant(0, NOT_ISSUER_RETRY_MILLIS);
         }
         long now = clockMillis.getAsLong();
         if (charged > 0) {
-            keeper.charge(upstream, limit.perSecond(), kept.share(), charged, now);
+            permitIssuer.charge(upstream, limit.perSecond(), issuer.share(), charged, now);
         }
         return wanted == 0
                 ? new PermitGrant(0, 0)
-                : keeper.grant(upstream, limit.perSecond(), kept.share(), wanted, now);
+                : permitIssuer.grant(upstream, limit.perSecond(), issuer.share(), wanted, now);
     }
 
-    /** Forgets upstreams that are not limited any more. */
+    /** Removes upstreams that are no longer limited. */
     public void expire() {
-        keeper.retain(table);
+        permitIssuer.retain(table);
     }
 
     /**
-     * Returns how many limits this router has kept.
+     * Returns the number of limits for which this router has granted permits.
      *
-     * @return upstreams
+     * @return number of upstreams
      */
     public int issuedLimits() {
-        return keeper.size();
+        return permitIssuer.size();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
@@ -5,82 +5,82 @@
 
 import org.apricotstack.core.id.UpstreamId;
 
-/** The permits that this router holds for limited upstreams, and when it may ask for more. */
+/** The permits that this router holds for rate-limited upstreams, and the times from which it may request more. */
 public final class PermitPool {
 
-    /** Time for which a permit may be used, in milliseconds from the question. */
-    static final long PERMIT_MILLIS = 1_000;
+    /** Time for which a permit is valid, in milliseconds from the permit request. */
+    static final long PERMIT_VALID_MILLIS = 1_000;
 
-    /** Time whose requests one question covers, in seconds. */
-    private static final double COVERED_SECONDS = 0.5;
+    /** Time whose expected demand one permit request covers, in seconds. */
+    private static final double DEMAND_COVERAGE_SECONDS = 0.5;
 
-    /** Permits that are asked for at once, at most. */
-    private static final int MOST_WANTED = 64;
+    /** Maximum number of permits in one permit request. */
+    private static final int MAX_REQUESTED = 64;
 
-    /** Time over which the demand is counted, in milliseconds. */
-    private static final long DEMAND_MILLIS = 1_000;
+    /** Length of the window in which demand is counted, in milliseconds. */
+    private static final long DEMAND_WINDOW_MILLIS = 1_000;
 
-    /** Shortest time for which a keeper that granted nothing is not asked, in milliseconds. */
-    private static final long LEAST_CLOSED_MILLIS = 20;
+    /** Minimum time between permit requests after an empty grant, in milliseconds. */
+    private static final long MIN_CLOSED_MILLIS = 20;
 
-    /** Time for which a keeper that did not answer is not asked, in milliseconds. */
+    /** Time without permit requests after an issuer did not reply, in milliseconds. */
     private static final long UNANSWERED_MILLIS = 300;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final Map<UpstreamId, Held> held = new HashMap<>();
+    private final Map<UpstreamId, UpstreamPermits> upstreamPermits = new HashMap<>();
 
-    /** What is held for one upstream. */
-    private static final class Held {
+    /** The permits and demand of one upstream. */
+    private static final class UpstreamPermits {
         private int permits;
         private long untilMillis;
         private long closedUntilMillis;
         private double closedAtPerSecond;
         private int demand;
-        private int demandBefore;
-        private long demandFromMillis;
-
-        /** Counts a request that could be sent there. */
-        private void want(long nowMillis) {
-            long passed = nowMillis - demandFromMillis;
-            if (passed >= DEMAND_MILLIS) {
-                demandBefore = passed < 2 * DEMAND_MILLIS ? demand : 0;
+        private int previousDemand;
+        private long windowStartMillis;
+
+        /** Records a request that could be sent there. */
+        private void recordDemand(long nowMillis) {
+            long elapsed = nowMillis - windowStartMillis;
+            if (elapsed >= DEMAND_WINDOW_MILLIS) {
+                previousDemand = elapsed < 2 * DEMAND_WINDOW_MILLIS ? demand : 0;
                 demand = 0;
-                demandFromMillis = nowMillis;
+                windowStartMillis = nowMillis;
             }
             demand++;
         }
 
-        /** Returns the requests that could be sent there, a second. */
+        /** Returns the demand, in requests per second. */
         private double perSecond() {
-            return Math.max(demand, demandBefore) * MILLIS_PER_SECOND / DEMAND_MILLIS;
+            return Math.max(demand, previousDemand) * MILLIS_PER_SECOND / DEMAND_WINDOW_MILLIS;
         }
 
-        /** Tells whether the keeper need not be asked; a limit that was raised opens it. */
+        /** Tells whether permit requests are suspended; a raised limit resumes them. */
         private boolean isClosed(RateLimit limit, long nowMillis) {
             return nowMillis < closedUntilMillis && limit.perSecond() <= closedAtPerSecond;
         }
 
-        /** Keeps the keeper from being asked for some time. */
+        /** Suspends permit requests for some time. */
         private void close(RateLimit limit, long millis, long nowMillis) {
             closedUntilMillis = nowMillis + millis;
             closedAtPerSecond = limit.perSecond();
         }
     }
 
-    /** Returns what is held for an upstream. */
-    private Held held(UpstreamId upstream) {
-        return held.computeIfAbsent(upstream, id -> new Held());
+    /** Returns the state of an upstream. */
+    private UpstreamPermits upstreamPermits(UpstreamId upstream) {
+        return upstreamPermits.computeIfAbsent(upstream, id -> new UpstreamPermits());
     }
 
     /**
-     * Counts a request that could be sent to an upstream, so that permits are asked for in time.
+     * Records a request that could be sent to an upstream, so that enough permits are requested in advance.
      *
      * @param upstream the limited upstream
      * @param nowMillis the time
      */
-    public void want(UpstreamId upstream, long nowMillis) {
-        held(upstream).want(nowMillis);
+    public void recordDemand(UpstreamId upstream, long nowMillis) {
+        upstreamPermits(upstream).recordDemand(nowMillis);
     }
 
     /**
@@ -88,83 +88,82 @@
      *
      * @param upstream the limited upstream
      * @param nowMillis the time
-     * @return whether there was one
+     * @return whether a valid permit was available
      */
     public boolean take(UpstreamId upstream, long nowMillis) {
-        Held one = held(upstream);
-        if (one.permits == 0 || nowMillis >= one.untilMillis) {
+        UpstreamPermits held = upstreamPermits(upstream);
+        if (held.permits == 0 || nowMillis >= held.untilMillis) {
             return false;
         }
-        one.permits--;
+        held.permits--;
         return true;
     }
 
     /**
-     * Returns the time until a permit may be had.
+     * Returns the time until a permit may be available.
      *
      * @param upstream the limited upstream
      * @param limit its limit
      * @param nowMillis the time
-     * @return milliseconds; 0 if one is held, or may be asked for
+     * @return milliseconds; 0 if a permit is held or may be requested
      */
     public long opensMillis(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        Held one = held.get(upstream);
+        UpstreamPermits held = upstreamPermits.get(upstream);
         boolean closed =
-                one != null && one.isClosed(limit, nowMillis) && (one.permits == 0 || nowMillis >= one.untilMillis);
-        return closed ? one.closedUntilMillis - nowMillis : 0;
+                held != null && held.isClosed(limit, nowMillis) && (held.permits == 0 || nowMillis >= held.untilMillis);
+        return closed ? held.closedUntilMillis - nowMillis : 0;
     }
 
     /**
-     * Returns how many permits to ask for.
+     * Returns the number of permits to request.
      *
      * @param upstream the limited upstream
-     * @return permits, one at least
+     * @return number of permits, at least 1
      */
-    public int wanted(UpstreamId upstream) {
-        double soon = held(upstream).perSecond() * COVERED_SECONDS;
-        return (int) Math.max(1, Math.min(MOST_WANTED, Math.floor(soon)));
+    public int permitsToRequest(UpstreamId upstream) {
+        double expectedDemand = upstreamPermits(upstream).perSecond() * DEMAND_COVERAGE_SECONDS;
+        return (int) Math.max(1, Math.min(MAX_REQUESTED, Math.floor(expectedDemand)));
     }
 
     /**
-     * Takes permits in.
+     * Adds granted permits.
      *
      * @param upstream the limited upstream
      * @param limit its limit
-     * @param grant the answer of its keeper
-     * @param askedMillis when it was asked
+     * @param grant the reply of the permit issuer
+     * @param requestedMillis time of the permit request
      * @param nowMillis the time
      */
-    public void granted(UpstreamId upstream, RateLimit limit, PermitGrant grant, long askedMillis, long nowMillis) {
-        Held one = held(upstream);
+    public void granted(UpstreamId upstream, RateLimit limit, PermitGrant grant, long requestedMillis, long nowMillis) {
+        UpstreamPermits held = upstreamPermits(upstream);
         if (grant.permits() > 0) {
-            int left = nowMillis < one.untilMillis ? one.permits : 0;
-            one.permits = left + grant.permits();
-            one.untilMillis = askedMillis + PERMIT_MILLIS;
+            int remaining = nowMillis < held.untilMillis ? held.permits : 0;
+            held.permits = remaining + grant.permits();
+            held.untilMillis = requestedMillis + PERMIT_VALID_MILLIS;
         }
-        long againMillis =
-                grant.permits() > 0 ? grant.againMillis() : Math.max(LEAST_CLOSED_MILLIS, grant.againMillis());
-        one.close(limit, againMillis, nowMillis);
+        long againMillis = grant.permits() > 0 ? grant.againMillis() : Math.max(MIN_CLOSED_MILLIS, grant.againMillis());
+        held.close(limit, againMillis, nowMillis);
     }
 
     /**
-     * Notes that the keeper did not answer.
+     * Records that the permit issuer did not reply.
      *
      * @param upstream the limited upstream
      * @param limit its limit
      * @param nowMillis the time
      */
-    public void unanswered(UpstreamId upstream, RateLimit limit, long nowMillis) {
-        held(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
+    public void issuerUnavailable(UpstreamId upstream, RateLimit limit, long nowMillis) {
+        upstreamPermits(upstream).close(limit, UNANSWERED_MILLIS, nowMillis);
     }
 
     /**
-     * Forgets upstreams that are not limited any more.
+     * Removes upstreams that are no longer limited.
      *
-     * @param limits the limits that hold
+     * @param limits the limits in force
      */
     public void retain(LimitTable limits) {
-        if (!held.isEmpty()) {
-            held.keySet().removeIf(upstream -> limits.find(upstream) == null);
+        if (!upstreamPermits.isEmpty()) {
+            upstreamPermits.keySet().removeIf(upstream -> limits.find(upstream) == null);
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/retry/WindowedRetryBudgetTest.java
@@ -9,11 +9,11 @@
     private static final long WINDOW_MILLIS = 10_000;
 
     /**
-     * Symptom: upstreams that were left got a multiple of the traffic. Sequence: many upstreams fail, seven routers
-     * repeat every request. Cause: each router thought that the whole allowance was its own.
+     * Guards against overloading the remaining upstreams when many upstreams fail and seven routers retry every
+     * request: each router used the budget of the whole fleet.
      */
     @Test
-    void keepsAllRoutersTogetherWithinTheAllowanceOfAnyWindow() {
+    void keepsAllRoutersTogetherWithinTheBudgetOfAWindow() {
         int routers = 7;
         WindowedRetryBudget[] budgets = new WindowedRetryBudget[routers];
         for (int i = 0; i < routers; i++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void forgetsWhatLiesBeforeTheWindow() {
+    void ignoresRetriesBeforeTheWindow() {
         WindowedRetryBudget budget = new WindowedRetryBudget(0.2, WINDOW_MILLIS, () -> 2);
         assertThat(budget.trySpend(0)).isTrue();
         assertThat(budget.trySpend(1)).isFalse();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/suspect/SuspectTableTest.java
@@ -20,8 +20,8 @@
     private static final RequestDigest CAUSE = new RequestDigest(1, 1);
     private static final RequestDigest OTHER = new RequestDigest(2, 2);
 
-    /** Time between two ends that have nothing to do with each other. */
-    private static final long APART_MILLIS = 1_000;
+    /** Time between two unrelated crashes, in milliseconds. */
+    private static final long UNRELATED_MILLIS = 1_000;
 
     private final List<SuspectedRequest> found = new ArrayList<>();
     private final SuspectTable table = new SuspectTable(OWN, found::add);
@@ -31,17 +31,17 @@
         return new UpstreamId("upstream-" + number);
     }
 
-    private void end(int number, boolean begun, RequestDigest... requests) {
+    private void crash(int number, boolean answerStarted, RequestDigest... requests) {
         for (RequestDigest request : requests) {
-            table.upstreamCrashed(request, new ObservedCrash(upstream(number), begun, now), OWN, now);
+            table.upstreamCrashed(request, new ObservedCrash(upstream(number), answerStarted, now), OWN, now);
         }
     }
 
-    /** Lets upstreams end one after the other while requests are in flight that had got nothing of their answers. */
-    private void endApart(int first, int last, RequestDigest... requests) {
+    /** Lets upstreams crash one after the other while requests without any part of an answer are in flight. */
+    private void crashUnrelated(int first, int last, RequestDigest... requests) {
         for (int number = first; number <= last; number++) {
-            now += APART_MILLIS;
-            end(number, false, requests);
+            now += UNRELATED_MILLIS;
+            crash(number, false, requests);
         }
     }
 
@@ -55,163 +55,162 @@
     }
 
     @Test
-    void sendsWhatIsNotSuspected() {
-        endApart(1, 3, CAUSE);
+    void sendsARequestThatIsNotSuspected() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(table.mayContain(OTHER.head())).isFalse();
     }
 
     @Test
-    void triesARequestAloneFromTheFirstEndOnAndRefusesItFromTheThirdOn() {
-        endApart(1, 1, CAUSE);
+    void runsTrialsAfterTheFirstCrashAndRefusesAfterTheThird() {
+        crashUnrelated(1, 1, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
-        endApart(2, 2, CAUSE);
+        crashUnrelated(2, 2, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
-        endApart(3, 3, CAUSE);
+        crashUnrelated(3, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(found).hasSize(1);
         assertThat(found.get(0).crashes()).hasSize(3);
     }
 
     /**
-     * Symptom: a request that only was there is refused. Sequence: three upstreams end under two requests; the router
-     * asks about the second one before it has heard that a fourth had ended under the first. Cause: the judgement came
-     * before all that was in flight could be told.
+     * Guards against refusing a request that was merely in flight: three upstreams crashed under two requests, and the
+     * router identified the second one as the cause before it learned of a fourth crash under the first one.
      */
     @Test
-    void waitsForWhatOthersTellBeforeItNamesACause() {
-        endApart(1, 3, CAUSE);
+    void waitsForGossipBeforeItIdentifiesACause() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.SETTLE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     /**
-     * Symptom: prompts of others are refused after a crash of three engines. Sequence: they run on an engine, the cause
-     * ends it, they are sent again to the engine to which the cause is sent again. Cause: a plain count of ends.
+     * Guards against refusing prompts of others after the crash of three engines: they ran on the engine that the cause
+     * crashed, and were retried at the same engines as the cause, so that a mere count of crashes was the same for all.
      */
     @Test
-    void doesNotSuspectARequestWhoseAnswerHadBegunEachTime() {
-        now += APART_MILLIS;
-        end(1, false, CAUSE);
-        end(1, true, OTHER);
-        now += APART_MILLIS;
-        end(2, false, CAUSE);
-        end(2, true, OTHER);
-        now += APART_MILLIS;
-        end(3, false, CAUSE);
-        end(3, true, OTHER);
+    void doesNotSuspectARequestWhoseAnswerHadStartedEachTime() {
+        now += UNRELATED_MILLIS;
+        crash(1, false, CAUSE);
+        crash(1, true, OTHER);
+        now += UNRELATED_MILLIS;
+        crash(2, false, CAUSE);
+        crash(2, true, OTHER);
+        now += UNRELATED_MILLIS;
+        crash(3, false, CAUSE);
+        crash(3, true, OTHER);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void refusesARequestUnderWhichSixUpstreamsEndedThoughItsAnswerHadBegun() {
-        for (int number = 1; number < CauseFinder.ENDS_OF_A_HIDDEN_CAUSE; number++) {
-            now += APART_MILLIS;
-            end(number, true, CAUSE);
+    void refusesARequestAfterSixCrashesThoughItsAnswerHadStarted() {
+        for (int number = 1; number < CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE; number++) {
+            now += UNRELATED_MILLIS;
+            crash(number, true, CAUSE);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
-        now += APART_MILLIS;
-        end(CauseFinder.ENDS_OF_A_HIDDEN_CAUSE, true, CAUSE);
+        now += UNRELATED_MILLIS;
+        crash(CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE, true, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void namesTheRequestThatExplainsMoreAndClearsTheOther() {
-        endApart(1, 1, CAUSE);
-        endApart(2, 4, CAUSE, OTHER);
+    void identifiesTheRequestThatExplainsMoreCrashesAndClearsTheOther() {
+        crashUnrelated(1, 1, CAUSE);
+        crashUnrelated(2, 4, CAUSE, OTHER);
         assertThat(decideSettled(OTHER)).isEqualTo(Action.SEND);
         assertThat(found).extracting(SuspectedRequest::request).containsExactly(CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void tellsRequestsThatShareAllTheirEndsApartByOneMoreEnd() {
-        endApart(1, 3, CAUSE, OTHER);
+    void distinguishesRequestsWithTheSameCrashesByOneMoreCrash() {
+        crashUnrelated(1, 3, CAUSE, OTHER);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
         table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         SuspectDecision other = table.decide(OTHER, now);
         assertThat(other.action()).isEqualTo(Action.TRY);
         assertThat(other.avoided()).containsExactly(upstream(4));
-        endApart(4, 4, CAUSE);
+        crashUnrelated(4, 4, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(decide(OTHER)).isEqualTo(Action.SEND);
     }
 
     /**
-     * Symptom: requests are refused on a day on which racks lose power. Sequence: three engines at a time are lost at
-     * one moment, and a request meets three such moments. Cause: each end was counted, though no request can end an
-     * engine to which it was not sent.
+     * Guards against refusing requests after power failures of racks: a request was in flight at three racks of three
+     * engines that failed one after the other, and each crash was counted, although a request cannot crash engines to
+     * which it was not sent.
      */
     @ParameterizedTest
-    @ValueSource(longs = {0, UpstreamEnds.TOGETHER_MILLIS / 2})
-    void doesNotSuspectARequestOfEndsThatTookOtherUpstreamsToo(long spreadMillis) {
+    @ValueSource(longs = {0, UpstreamCrashes.SIMULTANEOUS_MILLIS / 2})
+    void doesNotSuspectARequestOfCrashesSimultaneousWithOthers(long spreadMillis) {
         for (int rack = 0; rack < 4; rack++) {
-            now += APART_MILLIS;
-            end(10 * rack, false, CAUSE);
-            end(10 * rack + 1, false, new RequestDigest(10, rack));
+            now += UNRELATED_MILLIS;
+            crash(10 * rack, false, CAUSE);
+            crash(10 * rack + 1, false, new RequestDigest(10, rack));
             now += spreadMillis;
-            end(10 * rack + 2, false, new RequestDigest(11, rack));
+            crash(10 * rack + 2, false, new RequestDigest(11, rack));
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
     }
 
     @Test
-    void suspectsARequestThatWasSentToAllUpstreamsThatWereLostTogether() {
-        now += APART_MILLIS;
-        end(1, false, CAUSE);
-        end(2, false, CAUSE, OTHER);
-        end(3, false, CAUSE);
+    void suspectsARequestInFlightAtAllSimultaneouslyCrashedUpstreams() {
+        now += UNRELATED_MILLIS;
+        crash(1, false, CAUSE);
+        crash(2, false, CAUSE, OTHER);
+        crash(3, false, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(decide(OTHER)).isEqualTo(Action.SEND);
     }
 
     /**
-     * Symptom: a request goes on to end upstreams. Sequence: whenever it ends one, others end of other causes at the
-     * same moment. Cause: an end that may have another cause never counts.
+     * Guards against a request that keeps crashing upstreams because others crash of other causes at the same times, so
+     * that none of its crashes counts.
      */
     @Test
-    void refusesARequestUnderWhichSixUpstreamsEndedThoughOthersEndedAtTheSameMoments() {
-        for (int number = 1; number <= CauseFinder.ENDS_OF_A_HIDDEN_CAUSE; number++) {
+    void refusesARequestAfterSixCrashesThoughOthersWereSimultaneous() {
+        for (int number = 1; number <= CauseFinder.MIN_CRASHES_OF_HIDDEN_CAUSE; number++) {
             assertThat(decideSettled(CAUSE)).isEqualTo(Action.SEND);
-            now += APART_MILLIS;
-            end(10 * number, false, CAUSE);
-            end(10 * number + 1, false, new RequestDigest(10, number));
-            end(10 * number + 2, false, new RequestDigest(11, number));
+            now += UNRELATED_MILLIS;
+            crash(10 * number, false, CAUSE);
+            crash(10 * number + 1, false, new RequestDigest(10, number));
+            crash(10 * number + 2, false, new RequestDigest(11, number));
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void countsAnEndOnceHoweverManyTellOfIt() {
-        endApart(1, 2, CAUSE);
+    void countsACrashOnceHoweverOftenItIsReported() {
+        crashUnrelated(1, 2, CAUSE);
         for (int i = 0; i < 5; i++) {
-            end(2, false, CAUSE);
+            crash(2, false, CAUSE);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
-    void tellsTheStartsOfOneUpstreamApart() {
+    void distinguishesIncarnationsOfOneUpstream() {
         for (int start = 1; start <= 3; start++) {
-            now += APART_MILLIS;
+            now += UNRELATED_MILLIS;
             table.upstreamCrashed(CAUSE, new ObservedCrash(new UpstreamId("only", start), false, now), OWN, now);
         }
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void clearsARequestThatWasServedWhole() {
-        endApart(1, 2, CAUSE);
+    void clearsARequestThatWasServed() {
+        crashUnrelated(1, 2, CAUSE);
         assertThat(table.requestServed(CAUSE)).isTrue();
-        endApart(3, 4, CAUSE);
+        crashUnrelated(3, 4, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
         assertThat(table.size()).isEqualTo(1);
     }
 
     @Test
-    void holdsARequestWhileAnotherRouterTriesTheSame() {
-        endApart(1, 1, CAUSE);
+    void holdsARequestDuringATrialOfAnotherRouter() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, PEER, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, PEER, now);
@@ -221,13 +220,13 @@
     }
 
     /**
-     * Symptom: five upstreams end in a tenth of a second. Sequence: five routers have the same request in flight; one
-     * sees its upstream end and tells the others, each of which takes the request back and sends it again at once.
-     * Cause: who hears of an end took the request for one that nobody tries.
+     * Guards against five crashes within a tenth of a second: five routers had the same request in flight, and when one
+     * of them reported a crash, each of the others cancelled its attempt and sent the request again at once, as no
+     * trial was known.
      */
     @Test
-    void letsTheRouterThatSawAnEndGoOnFirst() {
-        now += APART_MILLIS;
+    void letsTheRouterThatObservedACrashContinueFirst() {
+        now += UNRELATED_MILLIS;
         table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, now), PEER, now);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         now += 9 * SuspectTable.RECHECK_MILLIS;
@@ -235,8 +234,8 @@
     }
 
     @Test
-    void goesOnAtOnceAfterATrialOfItsOwn() {
-        endApart(1, 1, CAUSE);
+    void continuesAtOnceAfterItsOwnTrial() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, OWN, upstream(2), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, OWN, now);
@@ -244,8 +243,8 @@
     }
 
     @Test
-    void waitsNoLongerForARouterThatIsGoneOrATrialWhoseTimeIsOver() {
-        endApart(1, 1, CAUSE);
+    void doesNotWaitForARemovedRouterOrATimedOutTrial() {
+        crashUnrelated(1, 1, CAUSE);
         table.trialStarted(CAUSE, PEER, upstream(2), now + 100);
         now += 101;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
@@ -256,62 +255,62 @@
     }
 
     /**
-     * Symptom: a request that an upstream's new version would run is refused for ever, or one that still ends upstreams
-     * ends three of them each time that it is tried. Sequence: its refusal ends after a time, and it is tried once.
+     * Guards against refusing a request for ever that a new version of the upstream would run, and against three more
+     * crashes after each period of refusal: the request is sent once as a trial when the period ends.
      */
     @Test
-    void triesARefusedRequestOnceAfterATimeAndRefusesItAgainIfThatUpstreamEndsToo() {
-        endApart(1, 3, CAUSE);
+    void retriesARefusedRequestOnceAfterATimeAndRefusesItAgainAfterACrash() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
         now += SuspectTable.REFUSED_MILLIS;
         assertThat(decide(CAUSE)).isEqualTo(Action.TRY);
         table.trialStarted(CAUSE, OWN, upstream(4), now + 5_000);
         assertThat(decide(CAUSE)).isEqualTo(Action.HOLD);
         table.trialEnded(CAUSE, OWN, now);
-        end(4, false, CAUSE);
+        crash(4, false, CAUSE);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
     }
 
     @Test
-    void forgetsARequestUnderWhichNoUpstreamEndedForLong() {
-        endApart(1, 3, CAUSE);
-        now += SuspectTable.FORGOTTEN_MILLIS;
+    void removesARequestWithoutRecentCrashes() {
+        crashUnrelated(1, 3, CAUSE);
+        now += SuspectTable.RETENTION_MILLIS;
         table.expire(now);
         assertThat(table.isEmpty()).isTrue();
         assertThat(table.mayContain(CAUSE.head())).isFalse();
     }
 
     /**
-     * Symptom: memory runs out, or a request that ends upstreams is forgotten. Sequence: an attacker sends any number
-     * of different requests each of which ends an upstream.
+     * Guards against running out of memory and against losing the record of a request that crashes upstreams: an
+     * attacker sends any number of different requests, each of which crashes an upstream.
      */
     @Test
-    void forgetsThoseWithTheFewestEndsFirstIfThereAreTooMany() {
-        endApart(1, 3, CAUSE);
+    void evictsRequestsWithTheFewestCrashesFirst() {
+        crashUnrelated(1, 3, CAUSE);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.REFUSE);
-        endApart(4, 5, OTHER);
-        int flood = 3 * SuspectTable.MOST_SUSPECTS;
+        crashUnrelated(4, 5, OTHER);
+        int flood = 3 * SuspectTable.MAX_SUSPECTS;
         for (int i = 0; i < flood; i++) {
             now++;
             table.upstreamCrashed(
                     new RequestDigest(100 + i, i), new ObservedCrash(upstream(100 + i), false, now), OWN, now);
         }
-        assertThat(table.size()).isEqualTo(SuspectTable.MOST_SUSPECTS);
-        assertThat(table.dropped()).isEqualTo(flood - SuspectTable.MOST_SUSPECTS + 2);
+        assertThat(table.size()).isEqualTo(SuspectTable.MAX_SUSPECTS);
+        assertThat(table.dropped()).isEqualTo(flood - SuspectTable.MAX_SUSPECTS + 2);
         assertThat(decide(CAUSE)).isEqualTo(Action.REFUSE);
         assertThat(table.find(OTHER, now).crashes()).hasSize(2);
     }
 
     @Test
-    void isNotMisledByOnePieceOfForgedNews() {
-        endApart(1, 2, CAUSE, OTHER);
-        end(3, false, OTHER);
+    void isNotMisledByOneForgedReport() {
+        crashUnrelated(1, 2, CAUSE, OTHER);
+        crash(3, false, OTHER);
         assertThat(decideSettled(CAUSE)).isEqualTo(Action.TRY);
     }
 
     @Test
-    void takesNoNewsOfLongAgo() {
-        long longAgo = now - SuspectTable.FORGOTTEN_MILLIS;
+    void ignoresOutdatedReports() {
+        long longAgo = now - SuspectTable.RETENTION_MILLIS;
         assertThat(table.upstreamCrashed(CAUSE, new ObservedCrash(upstream(1), false, longAgo), null, now))
                 .isFalse();
         assertThat(table.isEmpty()).isTrue();
