--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryRouters.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryRouters.java
@@ -21,10 +21,10 @@
      * Routers up to which all take callers: today's fleets of 6 and 7 and as many again, where one router less is a
      * large share of all. Other numbers were not measured.
      */
-    static final int ALL_UP_TO = 16;
+    static final int MAX_ROUTERS_ALL_ACTIVE = 16;
 
     /** Routers of a data centre that take callers at least, so that the loss of some is little felt. */
-    static final int LEAST_EACH = 4;
+    static final int MIN_PER_DATA_CENTRE = 4;
 
     /**
      * Requests a second that one core is given. On a day of high load seven hosts used 25.6 s of processor time for
@@ -55,7 +55,7 @@
                     .add(peer);
         }
         List<Peer> chosen = new ArrayList<>();
-        byDataCentre.forEach((dataCentre, peers) -> chosen.addAll(chooseOf(peers, spare, weights)));
+        byDataCentre.forEach((dataCentre, peers) -> chosen.addAll(chooseInDataCentre(peers, spare, weights)));
         return chosen;
     }
 
@@ -66,11 +66,11 @@
      * @return whether they are more than all take callers in
      */
     public static boolean isLargeFleet(int routers) {
-        return routers > ALL_UP_TO;
+        return routers > MAX_ROUTERS_ALL_ACTIVE;
     }
 
     /** Chooses routers of one data centre: the strongest first, equal ones in an order of their own. */
-    private static List<Peer> chooseOf(List<Peer> peers, int spare, EntryWeights weights) {
+    private static List<Peer> chooseInDataCentre(List<Peer> peers, int spare, EntryWeights weights) {
         double requestsPerSecond = 0;
         for (Peer peer : peers) {
             requestsPerSecond += peer.requestsPerSecond();
@@ -78,13 +78,13 @@
         double neededPercent = PERCENT * requestsPerSecond / REQUESTS_PER_CORE;
         List<Peer> sorted = new ArrayList<>(peers);
         sorted.sort((one, other) -> compare(one, other, weights));
-        int number = 0;
-        double havePercent = 0;
-        while (number < sorted.size() && (number < LEAST_EACH || havePercent < neededPercent)) {
-            havePercent += sorted.get(number).capacityPercent();
-            number++;
+        int count = 0;
+        double chosenPercent = 0;
+        while (count < sorted.size() && (count < MIN_PER_DATA_CENTRE || chosenPercent < neededPercent)) {
+            chosenPercent += sorted.get(count).capacityPercent();
+            count++;
         }
-        return sorted.subList(0, Math.min(sorted.size(), number + spare));
+        return sorted.subList(0, Math.min(sorted.size(), count + spare));
     }
 
     /** Puts the stronger router first, and equal ones in the order of their weights. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerFetchPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerFetchPolicy.java
@@ -13,12 +13,12 @@
     public static final long PLATFORM_GRACE_MILLIS = 200;
 
     /** Time between two questions, in milliseconds. */
-    static final long ASK_MILLIS = 400;
+    static final long FETCH_INTERVAL_MILLIS = 400;
 
     private long newestConfiguration;
     private long newestUpstreams;
     private long behindSinceMillis = -1;
-    private long askedMillis = Long.MIN_VALUE / 2;
+    private long lastFetchMillis = Long.MIN_VALUE / 2;
 
     /**
      * Takes in what a peer knows.
@@ -26,12 +26,12 @@
      * @param peer the peer's heartbeat
      * @param configurationVersion version of the configuration that this router has; 0 if none
      * @param upstreamsRevision revision up to which this router knows the upstreams; 0 if it knows none
-     * @param behindMillis time for which the platform itself may tell what a peer knows already, in milliseconds
+     * @param graceMillis time for which the platform itself may tell what a peer knows already, in milliseconds
      * @param nowMillis the time
      * @return whether to ask this peer now
      */
     public boolean shouldFetch(
-            Peer peer, long configurationVersion, long upstreamsRevision, long behindMillis, long nowMillis) {
+            Peer peer, long configurationVersion, long upstreamsRevision, long graceMillis, long nowMillis) {
         newestConfiguration = Math.max(newestConfiguration, peer.configurationVersion());
         newestUpstreams = Math.max(newestUpstreams, peer.upstreamsRevision());
         if (configurationVersion >= newestConfiguration && upstreamsRevision >= newestUpstreams) {
@@ -41,11 +41,11 @@
         if (behindSinceMillis < 0) {
             behindSinceMillis = nowMillis;
         }
-        boolean knowsMore =
+        boolean peerIsNewer =
                 peer.configurationVersion() > configurationVersion || peer.upstreamsRevision() > upstreamsRevision;
-        boolean knowsNothing = configurationVersion == 0 || upstreamsRevision == 0;
-        boolean waited = knowsNothing || nowMillis - behindSinceMillis >= behindMillis;
-        return knowsMore && waited && mayFetch(nowMillis);
+        boolean isEmpty = configurationVersion == 0 || upstreamsRevision == 0;
+        boolean graceIsOver = isEmpty || nowMillis - behindSinceMillis >= graceMillis;
+        return peerIsNewer && graceIsOver && mayFetch(nowMillis);
     }
 
     /**
@@ -55,7 +55,7 @@
      * @return whether the last question is long enough ago
      */
     public boolean mayFetch(long nowMillis) {
-        return nowMillis - askedMillis >= ASK_MILLIS;
+        return nowMillis - lastFetchMillis >= FETCH_INTERVAL_MILLIS;
     }
 
     /**
@@ -64,6 +64,6 @@
      * @param nowMillis the time
      */
     public void fetchStarted(long nowMillis) {
-        askedMillis = nowMillis;
+        lastFetchMillis = nowMillis;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerTable.java
@@ -27,10 +27,10 @@
     public static final long SUSPECT_MILLIS = 1_600;
 
     /** Heartbeats that may be missing before a router that sends them seldom is not named. */
-    private static final double SUSPECT_BEATS = 2.6;
+    private static final double SUSPECT_HEARTBEATS = 2.6;
 
     /** Silence after which a router's placements are taken off, in milliseconds. */
-    public static final long GONE_MILLIS = 4_000;
+    public static final long DEAD_MILLIS = 4_000;
 
     /**
      * Least silence after which its address is no longer tried, in milliseconds; longer than any usual outage. One that
@@ -39,9 +39,9 @@
     public static final long FORGET_MILLIS = 120_000;
 
     /** Routers that callers are told at least, if there are so many: one alone would be a single point of failure. */
-    private static final int LEAST_NAMED = 2;
+    private static final int MIN_CALLER_ADDRESSES = 2;
 
-    private final Map<HostId, Heard> heard = new HashMap<>();
+    private final Map<HostId, LastHeartbeat> lastHeartbeats = new HashMap<>();
     private final Set<Address> addresses = new HashSet<>();
     private final EntryWeights weights = new EntryWeights();
 
@@ -51,11 +51,11 @@
      * @param peer what it said
      * @param atMillis when
      */
-    private record Heard(Peer peer, long atMillis) {
+    private record LastHeartbeat(Peer peer, long atMillis) {
 
         /** Returns the silence after which it is not named to callers, in milliseconds. */
         private long suspectMillis() {
-            return Math.max(SUSPECT_MILLIS, (long) (SUSPECT_BEATS * peer.nextHeartbeatMillis()));
+            return Math.max(SUSPECT_MILLIS, (long) (SUSPECT_HEARTBEATS * peer.nextHeartbeatMillis()));
         }
 
         /** Returns the silence after which its address is no longer tried, in milliseconds. */
@@ -64,8 +64,8 @@
         }
 
         /** Returns the silence after which its placements are taken off, in milliseconds. */
-        private long goneMillis() {
-            return Math.max(GONE_MILLIS, suspectMillis());
+        private long deadMillis() {
+            return Math.max(DEAD_MILLIS, suspectMillis());
         }
     }
 
@@ -78,8 +78,8 @@
      * @return the process that ran on that host before, if it is another one; else {@code null}
      */
     public ProcessId recordHeartbeat(Peer peer, long nowMillis) {
-        Heard before = heard.get(peer.process().host());
-        heard.put(peer.process().host(), new Heard(peer, nowMillis));
+        LastHeartbeat before = lastHeartbeats.get(peer.process().host());
+        lastHeartbeats.put(peer.process().host(), new LastHeartbeat(peer, nowMillis));
         addresses.add(peer.peerAddress());
         return before == null || before.peer().process().equals(peer.process())
                 ? null
@@ -93,9 +93,9 @@
      * @param nowMillis the time
      */
     public void connectionLost(Address peerAddress, long nowMillis) {
-        heard.replaceAll((host, one) -> one.peer().peerAddress().equals(peerAddress)
-                ? new Heard(one.peer(), Math.min(one.atMillis(), nowMillis - one.suspectMillis()))
-                : one);
+        lastHeartbeats.replaceAll((host, last) -> last.peer().peerAddress().equals(peerAddress)
+                ? new LastHeartbeat(last.peer(), Math.min(last.atMillis(), nowMillis - last.suspectMillis()))
+                : last);
     }
 
     /**
@@ -106,25 +106,25 @@
      * @param nowMillis the time
      */
     public void reportedSilent(HostId host, long nowMillis) {
-        heard.computeIfPresent(
+        lastHeartbeats.computeIfPresent(
                 host,
-                (same, one) -> one.peer().takesCallers() || nowMillis - one.atMillis() < SUSPECT_MILLIS
-                        ? one
-                        : new Heard(one.peer(), Math.min(one.atMillis(), nowMillis - one.suspectMillis())));
+                (same, last) -> last.peer().takesCallers() || nowMillis - last.atMillis() < SUSPECT_MILLIS
+                        ? last
+                        : new LastHeartbeat(last.peer(), Math.min(last.atMillis(), nowMillis - last.suspectMillis())));
     }
 
     /**
      * Returns hosts whose routers were heard before and are suspected now.
      *
-     * @param most hosts at the most
+     * @param max hosts at the most
      * @param nowMillis the time
      * @return the hosts
      */
-    public List<HostId> suspectedHosts(int most, long nowMillis) {
-        return heard.values().stream()
-                .filter(one -> nowMillis - one.atMillis() >= one.suspectMillis())
-                .map(one -> one.peer().process().host())
-                .limit(most)
+    public List<HostId> suspectedHosts(int max, long nowMillis) {
+        return lastHeartbeats.values().stream()
+                .filter(last -> nowMillis - last.atMillis() >= last.suspectMillis())
+                .map(last -> last.peer().process().host())
+                .limit(max)
                 .toList();
     }
 
@@ -154,9 +154,9 @@
      */
     public List<Peer> alive(long nowMillis) {
         List<Peer> alive = new ArrayList<>();
-        for (Heard one : heard.values()) {
-            if (nowMillis - one.atMillis() < one.suspectMillis()) {
-                alive.add(one.peer());
+        for (LastHeartbeat last : lastHeartbeats.values()) {
+            if (nowMillis - last.atMillis() < last.suspectMillis()) {
+                alive.add(last.peer());
             }
         }
         return alive;
@@ -169,8 +169,8 @@
      * @return the address, or {@code null} if it was not heard
      */
     public Address addressOf(HostId host) {
-        Heard one = heard.get(host);
-        return one == null ? null : one.peer().peerAddress();
+        LastHeartbeat last = lastHeartbeats.get(host);
+        return last == null ? null : last.peer().peerAddress();
     }
 
     /**
@@ -181,9 +181,9 @@
      * @return routers
      */
     public int silentEntryRouterCount(long nowMillis) {
-        return (int) heard.values().stream()
-                .filter(one -> nowMillis - one.atMillis() >= one.suspectMillis())
-                .filter(one -> one.peer().ready() && one.peer().takesCallers())
+        return (int) lastHeartbeats.values().stream()
+                .filter(last -> nowMillis - last.atMillis() >= last.suspectMillis())
+                .filter(last -> last.peer().ready() && last.peer().takesCallers())
                 .count();
     }
 
@@ -194,23 +194,23 @@
      * @return processes whose placements no longer count
      */
     public List<ProcessId> expire(long nowMillis) {
-        List<ProcessId> gone = new ArrayList<>();
-        int before = heard.size();
-        for (Iterator<Heard> it = heard.values().iterator(); it.hasNext(); ) {
-            Heard one = it.next();
-            long silence = nowMillis - one.atMillis();
-            if (silence > one.goneMillis()) {
-                gone.add(one.peer().process());
+        List<ProcessId> dead = new ArrayList<>();
+        int before = lastHeartbeats.size();
+        for (Iterator<LastHeartbeat> it = lastHeartbeats.values().iterator(); it.hasNext(); ) {
+            LastHeartbeat last = it.next();
+            long silence = nowMillis - last.atMillis();
+            if (silence > last.deadMillis()) {
+                dead.add(last.peer().process());
             }
-            if (silence > one.forgetMillis()) {
+            if (silence > last.forgetMillis()) {
                 it.remove();
-                addresses.remove(one.peer().peerAddress());
+                addresses.remove(last.peer().peerAddress());
             }
         }
-        if (heard.size() < before) {
-            weights.retain(heard::containsKey);
+        if (lastHeartbeats.size() < before) {
+            weights.retain(lastHeartbeats::containsKey);
         }
-        return gone;
+        return dead;
     }
 
     /**
@@ -221,19 +221,19 @@
      *
      * @param own this router, or {@code null} if it takes no callers now
      * @param dataCentre the callers' data centre, or {@code null}
-     * @param most addresses at the most
+     * @param max addresses at the most
      * @param nowMillis the time
      * @return addresses that take callers
      */
-    public List<Address> callerAddresses(Peer own, DataCentreId dataCentre, int most, long nowMillis) {
+    public List<Address> callerAddresses(Peer own, DataCentreId dataCentre, int max, long nowMillis) {
         List<Peer> ready = entryRouters(own, 0, nowMillis);
         List<Peer> near = ready.stream()
                 .filter(peer -> peer.dataCentre().equals(dataCentre))
                 .toList();
-        List<Peer> named = near.size() >= LEAST_NAMED ? near : ready;
-        List<Peer> deciding = named.stream().filter(Peer::takesCallers).toList();
-        return (deciding.size() >= LEAST_NAMED ? deciding : named)
-                .stream().map(Peer::callerAddress).limit(most).toList();
+        List<Peer> candidates = near.size() >= MIN_CALLER_ADDRESSES ? near : ready;
+        List<Peer> active = candidates.stream().filter(Peer::takesCallers).toList();
+        return (active.size() >= MIN_CALLER_ADDRESSES ? active : candidates)
+                .stream().map(Peer::callerAddress).limit(max).toList();
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PlatformReaderSelection.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PlatformReaderSelection.java
@@ -23,10 +23,10 @@
      * Time for which a reader's word holds, in milliseconds: one of them may be lost. A change is in force within 3 s
      * of its publication in the fleets that need readers; this, the look at it and one call stay below.
      */
-    public static final long TRUST_MILLIS = 2_000;
+    public static final long VALID_MILLIS = 2_000;
 
     private final EntryWeights weights = new EntryWeights();
-    private final Map<HostId, Word> words = new HashMap<>();
+    private final Map<HostId, ReaderHeartbeat> readers = new HashMap<>();
 
     /**
      * What a reader said last.
@@ -34,7 +34,7 @@
      * @param peer the reader
      * @param atMillis when
      */
-    private record Word(Peer peer, long atMillis) {}
+    private record ReaderHeartbeat(Peer peer, long atMillis) {}
 
     /**
      * Takes a heartbeat in.
@@ -46,9 +46,9 @@
     public void recordHeartbeat(Peer peer, boolean reads, long nowMillis) {
         HostId host = peer.process().host();
         if (reads) {
-            words.put(host, new Word(peer, nowMillis));
+            readers.put(host, new ReaderHeartbeat(peer, nowMillis));
         } else {
-            words.remove(host);
+            readers.remove(host);
         }
     }
 
@@ -60,8 +60,8 @@
      * @return whether no router before it in its data centre said lately that it does
      */
     public boolean mustReadPlatform(Peer own, long nowMillis) {
-        for (Word word : words.values()) {
-            if (nowMillis - word.atMillis() < TRUST_MILLIS && isBefore(word.peer(), own)) {
+        for (ReaderHeartbeat reader : readers.values()) {
+            if (nowMillis - reader.atMillis() < VALID_MILLIS && precedes(reader.peer(), own)) {
                 return false;
             }
         }
@@ -77,12 +77,12 @@
      * @return whether the other one is a reader before it in its data centre
      */
     public boolean reliesOn(Peer own, Peer peer, long nowMillis) {
-        Word word = words.get(peer.process().host());
-        return word != null && nowMillis - word.atMillis() < TRUST_MILLIS && isBefore(peer, own);
+        ReaderHeartbeat reader = readers.get(peer.process().host());
+        return reader != null && nowMillis - reader.atMillis() < VALID_MILLIS && precedes(peer, own);
     }
 
     /** Tells whether a router stands before another one of the same data centre. */
-    private boolean isBefore(Peer one, Peer other) {
+    private boolean precedes(Peer one, Peer other) {
         return one.dataCentre().equals(other.dataCentre()) && EntryRouters.compare(one, other, weights) < 0;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
@@ -9,11 +9,11 @@
 public final class RequestRate {
 
     /** Time in which the rate falls to a third, in milliseconds: longer than callers usually keep addresses. */
-    static final double FALL_MILLIS = 10_000;
+    static final double DECAY_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private long count;
+    private long requestCount;
     private long sinceMillis;
     private double perSecond;
 
@@ -28,7 +28,7 @@
 
     /** Counts a request. */
     public void count() {
-        count++;
+        requestCount++;
     }
 
     /**
@@ -38,11 +38,11 @@
      * @return requests a second, of this span or, if that was more, what is left of earlier ones
      */
     public double endInterval(long nowMillis) {
-        long spanMillis = nowMillis - sinceMillis;
-        if (spanMillis > 0) {
-            double spanRate = count * MILLIS_PER_SECOND / spanMillis;
-            perSecond = Math.max(spanRate, perSecond * Math.exp(-spanMillis / FALL_MILLIS));
-            count = 0;
+        long intervalMillis = nowMillis - sinceMillis;
+        if (intervalMillis > 0) {
+            double intervalRate = requestCount * MILLIS_PER_SECOND / intervalMillis;
+            perSecond = Math.max(intervalRate, perSecond * Math.exp(-intervalMillis / DECAY_MILLIS));
+            requestCount = 0;
             sinceMillis = nowMillis;
         }
         return perSecond;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/EntryRoutersTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/EntryRoutersTest.java
@@ -19,11 +19,11 @@
 class EntryRoutersTest {
 
     private static final int DATA_CENTRES = 3;
-    private static final int SMALL_PERCENT = 36;
-    private static final int STRONG_PERCENT = 150;
+    private static final int LOW_CAPACITY_PERCENT = 36;
+    private static final int HIGH_CAPACITY_PERCENT = 150;
 
     /** Makes a fleet over three data centres; the first hosts of each are strong. */
-    private static List<Peer> fleet(int routers, int strongEach, double requestsPerSecondEach) {
+    private static List<Peer> fleet(int routers, int highCapacityEach, double requestsPerSecondEach) {
         List<Peer> peers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             peers.add(new Peer(
@@ -34,7 +34,7 @@
                     true,
                     1,
                     1,
-                    i / DATA_CENTRES < strongEach ? STRONG_PERCENT : SMALL_PERCENT,
+                    i / DATA_CENTRES < highCapacityEach ? HIGH_CAPACITY_PERCENT : LOW_CAPACITY_PERCENT,
                     requestsPerSecondEach,
                     true,
                     500));
@@ -56,11 +56,11 @@
      */
     @ParameterizedTest
     @CsvSource({"58, 1.3, 12", "71, 1.1, 12", "300, 0.3, 12"})
-    void choosesFewRoutersOfALargeFleetWithLittleLoad(int routers, double requestsPerSecondEach, int mostChosen) {
+    void choosesFewRoutersOfALargeFleetWithLittleLoad(int routers, double requestsPerSecondEach, int maxChosen) {
         List<Peer> chosen = EntryRouters.choose(fleet(routers, 2, requestsPerSecondEach), 0, new EntryWeights());
-        assertThat(chosen).hasSizeLessThanOrEqualTo(mostChosen);
+        assertThat(chosen).hasSizeLessThanOrEqualTo(maxChosen);
         assertThat(chosen.stream().map(Peer::dataCentre).distinct()).hasSize(DATA_CENTRES);
-        assertThat(chosen.stream().filter(peer -> peer.capacityPercent() == STRONG_PERCENT))
+        assertThat(chosen.stream().filter(peer -> peer.capacityPercent() == HIGH_CAPACITY_PERCENT))
                 .hasSize(2 * DATA_CENTRES);
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void choosesAlikeWhateverTheOrderInWhichRoutersWereHeard() {
+    void choiceDoesNotDependOnTheOrderOfHeartbeats() {
         List<Peer> shuffled = new ArrayList<>(fleet(71, 2, 1));
         Collections.shuffle(shuffled, new Random(5));
         assertThat(EntryRouters.choose(shuffled, 0, new EntryWeights()))
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void replacesOneThatIsLostAndKeepsTheOthers() {
+    void replacesALostRouterAndKeepsTheOthers() {
         List<Peer> fleet = fleet(71, 2, 1);
         List<Peer> before = EntryRouters.choose(fleet, 0, new EntryWeights());
         Peer lost = before.get(0);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void namesOneMoreOfEachDataCentreAsTheNext() {
+    void addsOneSparePerDataCentre() {
         List<Peer> fleet = fleet(71, 2, 1);
         assertThat(EntryRouters.choose(fleet, 1, new EntryWeights()))
                 .hasSize(EntryRouters.choose(fleet, 0, new EntryWeights()).size() + DATA_CENTRES)
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
@@ -36,24 +36,24 @@
                 nextMillis);
     }
 
-    private List<String> named(DataCentreId dataCentre, long nowMillis) {
+    private List<String> callerIps(DataCentreId dataCentre, long nowMillis) {
         return table.callerAddresses(null, dataCentre, 64, nowMillis).stream()
                 .map(Address::ip)
                 .toList();
     }
 
     @Test
-    void namesTheOwnDataCentreWhileTwoAreThere() {
+    void prefersTheOwnDataCentreWhileItHasTwoRouters() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, true), 0);
         table.recordHeartbeat(peer(3, 1, WEST, true), 0);
-        assertThat(named(EAST, 0)).containsExactly("127.0.0.1", "127.0.0.2");
-        assertThat(named(WEST, 0)).containsExactly("127.0.0.1", "127.0.0.2", "127.0.0.3");
-        assertThat(named(null, 0)).hasSize(3);
+        assertThat(callerIps(EAST, 0)).containsExactly("127.0.0.1", "127.0.0.2");
+        assertThat(callerIps(WEST, 0)).containsExactly("127.0.0.1", "127.0.0.2", "127.0.0.3");
+        assertThat(callerIps(null, 0)).hasSize(3);
     }
 
     @Test
-    void countsRoutersThatFellSilentAndNotThoseThatSaidThatTheyStop() {
+    void countsSilentRoutersButNotThoseThatAnnouncedTheirStop() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, false), 0);
         table.recordHeartbeat(peer(3, 1, EAST, true), 1_000);
@@ -62,11 +62,11 @@
     }
 
     @Test
-    void namesNeitherSilentRoutersNorThoseThatAreNotReady() {
+    void leavesOutRoutersThatAreSilentOrNotReady() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, true), 1_000);
         table.recordHeartbeat(peer(3, 1, EAST, false), 1_000);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.2");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.2");
     }
 
     /**
@@ -74,31 +74,31 @@
      * again, so its new incarnation is a smaller number. Cause: heartbeats of smaller incarnations were dropped.
      */
     @Test
-    void takesARestartedRouterWhateverItsTimeOfDay() {
+    void acceptsARestartedRouterWhoseWallClockJumpedBack() {
         table.recordHeartbeat(peer(1, 500, EAST, true), 0);
         ProcessId before = table.recordHeartbeat(peer(1, 400, EAST, true), 5_000);
         assertThat(before.incarnation()).isEqualTo(500);
-        assertThat(named(EAST, 5_000)).containsExactly("127.0.0.1");
+        assertThat(callerIps(EAST, 5_000)).containsExactly("127.0.0.1");
     }
 
     @Test
-    void givesUpPlacementsLaterThanTheName() {
+    void removesPlacementsLaterThanCallerAddresses() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         assertThat(table.expire(PeerTable.SUSPECT_MILLIS)).isEmpty();
-        assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).hasSize(1);
+        assertThat(table.expire(PeerTable.DEAD_MILLIS + 1)).hasSize(1);
         assertThat(table.addresses()).hasSize(1);
         table.expire(PeerTable.FORGET_MILLIS + 1);
         assertThat(table.addresses()).isEmpty();
     }
 
     @Test
-    void suspectsARouterWhoseConnectionEndedUntilItIsHeard() {
+    void suspectsARouterWithALostConnectionUntilItsNextHeartbeat() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.connectionLost(new Address("127.0.0.1", 90), 10);
-        assertThat(named(EAST, 10)).isEmpty();
+        assertThat(callerIps(EAST, 10)).isEmpty();
         assertThat(table.expire(10)).isEmpty();
         table.recordHeartbeat(peer(1, 1, EAST, true), 20);
-        assertThat(named(EAST, 20)).hasSize(1);
+        assertThat(callerIps(EAST, 20)).hasSize(1);
     }
 
     /**
@@ -106,10 +106,10 @@
      * the more routers there are. Cause: the silence that makes a router suspected did not grow with them.
      */
     @Test
-    void waitsLongerForHeartbeatsThatAreSeldom() {
+    void waitsLongerIfHeartbeatsAreRare() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 1_200), 0);
-        assertThat(named(EAST, 3_000)).hasSize(1);
-        assertThat(named(EAST, 3_200)).isEmpty();
+        assertThat(callerIps(EAST, 3_000)).hasSize(1);
+        assertThat(callerIps(EAST, 3_200)).isEmpty();
     }
 
     /**
@@ -118,9 +118,9 @@
      * not grow with the time between two heartbeats.
      */
     @Test
-    void keepsThePlacementsOfARouterThatTellsSeldomThatItIsThere() {
+    void keepsPlacementsOfARouterWithRareHeartbeats() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 4_000), 0);
-        assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).isEmpty();
+        assertThat(table.expire(PeerTable.DEAD_MILLIS + 1)).isEmpty();
         assertThat(table.expire(10_401)).hasSize(1);
     }
 
@@ -129,8 +129,8 @@
      * stand by hear of each other seldom. Cause to be excluded: none of them believes those that hear it often.
      */
     @Test
-    void believesOthersAboutRoutersThatItHearsSeldom() {
-        Peer seldom = new Peer(
+    void acceptsSilenceReportsAboutRoutersWithRareHeartbeats() {
+        Peer standby = new Peer(
                 new ProcessId(new HostId("host-9"), 1),
                 EAST,
                 new Address("127.0.0.9", 80),
@@ -142,23 +142,23 @@
                 0,
                 false,
                 12_000);
-        table.recordHeartbeat(seldom, 0);
+        table.recordHeartbeat(standby, 0);
         table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS - 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.9");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.9");
         table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).isEmpty();
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).isEmpty();
         assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS)).containsExactly(new HostId("host-9"));
-        table.recordHeartbeat(seldom, PeerTable.SUSPECT_MILLIS + 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS + 1)).containsExactly("127.0.0.9");
+        table.recordHeartbeat(standby, PeerTable.SUSPECT_MILLIS + 1);
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS + 1)).containsExactly("127.0.0.9");
         assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS + 1)).isEmpty();
     }
 
     @Test
-    void believesItsOwnEarsAboutRoutersThatTakeCallersAndForgetsNobodyItNeverHeard() {
+    void ignoresSilenceReportsAboutActiveAndUnknownRouters() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.reportedSilent(new HostId("host-1"), PeerTable.SUSPECT_MILLIS - 1);
         table.reportedSilent(new HostId("host-2"), PeerTable.SUSPECT_MILLIS - 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS - 1)).containsExactly("127.0.0.1");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS - 1)).containsExactly("127.0.0.1");
     }
 
     /**
@@ -166,7 +166,7 @@
      * stand by in different data centres hear of each other every three minutes. Cause: they were forgotten after two.
      */
     @Test
-    void keepsRoutersThatSendHeartbeatsSeldom() {
+    void keepsRoutersWithRareHeartbeats() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 197_000), 0);
         table.expire(197_000);
         assertThat(table.addresses()).hasSize(1);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReadersTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReaderSelectionTest.java
@@ -8,7 +8,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PlatformReadersTest {
+class PlatformReaderSelectionTest {
 
     private static final DataCentreId EAST = new DataCentreId("east");
     private static final DataCentreId WEST = new DataCentreId("west");
@@ -17,7 +17,7 @@
     private final Peer strong = peer("strong", EAST, 150);
     private final Peer middle = peer("middle", EAST, 75);
     private final Peer weak = peer("weak", EAST, 36);
-    private final Peer elsewhere = peer("elsewhere", WEST, 150);
+    private final Peer remote = peer("elsewhere", WEST, 150);
 
     private static Peer peer(String host, DataCentreId dataCentre, int capacityPercent) {
         Address address = new Address("127.0.0.1", 1);
@@ -36,9 +36,9 @@
     }
 
     @Test
-    void readsUnlessOneBeforeItInItsDataCentreSaysThatItDoes() {
+    void readsUnlessAPrecedingRouterOfItsDataCentreReads() {
         assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
-        readers.recordHeartbeat(elsewhere, true, 0);
+        readers.recordHeartbeat(remote, true, 0);
         readers.recordHeartbeat(weak, true, 0);
         assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
         readers.recordHeartbeat(strong, true, 0);
@@ -49,13 +49,13 @@
 
     /** Of all that read at a start exactly one of each data centre is left, whoever is heard first. */
     @Test
-    void leavesOneOfThoseThatAllRead() {
-        for (Peer peer : new Peer[] {weak, strong, middle, elsewhere}) {
+    void leavesOneReaderPerDataCentre() {
+        for (Peer peer : new Peer[] {weak, strong, middle, remote}) {
             readers.recordHeartbeat(peer, true, 0);
         }
-        assertThat(new Peer[] {strong, middle, weak, elsewhere})
+        assertThat(new Peer[] {strong, middle, weak, remote})
                 .filteredOn(peer -> readers.mustReadPlatform(peer, 0))
-                .containsExactly(strong, elsewhere);
+                .containsExactly(strong, remote);
     }
 
     /**
@@ -64,11 +64,11 @@
      * word.
      */
     @Test
-    void readsAgainOnceTheReaderIsSilentOrTurnedAway() {
+    void readsAgainOnceTheReaderIsSilentOrRejected() {
         readers.recordHeartbeat(strong, true, 0);
-        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS - 1))
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.VALID_MILLIS - 1))
                 .isFalse();
-        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS))
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.VALID_MILLIS))
                 .isTrue();
         readers.recordHeartbeat(strong, true, 5_000);
         readers.recordHeartbeat(middle, true, 5_000);
@@ -80,13 +80,13 @@
     }
 
     @Test
-    void reliesOnlyOnReadersThatItWasToldOf() {
+    void reliesOnlyOnKnownPrecedingReaders() {
         readers.recordHeartbeat(strong, true, 0);
         readers.recordHeartbeat(weak, true, 0);
         assertThat(readers.reliesOn(middle, strong, 0)).isTrue();
         assertThat(readers.reliesOn(middle, weak, 0)).isFalse();
-        assertThat(readers.reliesOn(middle, elsewhere, 0)).isFalse();
-        assertThat(readers.reliesOn(middle, strong, PlatformReaderSelection.TRUST_MILLIS))
+        assertThat(readers.reliesOn(middle, remote, 0)).isFalse();
+        assertThat(readers.reliesOn(middle, strong, PlatformReaderSelection.VALID_MILLIS))
                 .isFalse();
     }
 }
