--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryRouters.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryRouters.java
@@ -10,25 +10,25 @@
 /**
  * Chooses the routers that callers are sent to.
  *
- * <p>Each router that takes callers has to hear of each placement of all the others, so the news of a request cost as
- * many messages as there are such routers. In a large fleet few of them carry the whole load: the strongest of each
- * data centre, as many as the load there needs. All routers choose alike from what they hear of each other; where
- * their views differ for a moment, more routers are named, and none of them refuses.
+ * <p>Every active router receives every placement of all the others, so each request costs as many gossip messages as
+ * there are active routers. In a large fleet, a few routers therefore carry the whole load: the ones with the most
+ * capacity in each data centre, as many as the load there needs. All routers compute the same choice from each other's
+ * heartbeats. While their views differ, more routers than necessary are chosen, and none of them refuses requests.
  */
 public final class EntryRouters {
 
     /**
-     * Routers up to which all take callers: today's fleets of 6 and 7 and as many again, where one router less is a
-     * large share of all. Other numbers were not measured.
+     * Largest fleet in which all routers take callers. It covers fleets of 6 and 7 routers and twice as many, where
+     * each router is a large share of the capacity.
      */
     static final int MAX_ROUTERS_ALL_ACTIVE = 16;
 
-    /** Routers of a data centre that take callers at least, so that the loss of some is little felt. */
+    /** Minimum number of routers of a data centre that take callers, so that losing some of them matters little. */
     static final int MIN_PER_DATA_CENTRE = 4;
 
     /**
-     * Requests a second that one core is given. On a day of high load seven hosts used 25.6 s of processor time for
-     * 1,131 prompts, starts and all else included: 23 ms each at most, so a core serves 44 at least.
+     * Requests per second that one core is given. Under high load, seven hosts used 25.6 s of processor time for 1,131
+     * prompts, including start-up: at most 23 ms per prompt, so a core serves at least 44 per second.
      */
     static final double REQUESTS_PER_CORE = 30;
 
@@ -37,12 +37,12 @@
     private EntryRouters() {}
 
     /**
-     * Chooses routers.
+     * Chooses the routers that take callers.
      *
      * @param ready routers that can serve callers
-     * @param spare how many more of each data centre to choose, as those that would be next
-     * @param weights the order of equally strong routers
-     * @return those that callers are sent to
+     * @param spare number of additional routers per data centre, the next ones in order
+     * @param weights orders routers of equal capacity
+     * @return the routers that callers are sent to
      */
     public static List<Peer> choose(List<Peer> ready, int spare, EntryWeights weights) {
         if (!isLargeFleet(ready.size())) {
@@ -62,14 +62,14 @@
     /**
      * Tells whether a fleet is so large that some of its routers take no callers.
      *
-     * @param routers routers of the fleet
-     * @return whether they are more than all take callers in
+     * @param routers number of routers of the fleet
+     * @return whether only some of them take callers
      */
     public static boolean isLargeFleet(int routers) {
         return routers > MAX_ROUTERS_ALL_ACTIVE;
     }
 
-    /** Chooses routers of one data centre: the strongest first, equal ones in an order of their own. */
+    /** Chooses routers of one data centre by capacity, and by weight among equals. */
     private static List<Peer> chooseInDataCentre(List<Peer> peers, int spare, EntryWeights weights) {
         double requestsPerSecond = 0;
         for (Peer peer : peers) {
@@ -87,7 +87,7 @@
         return sorted.subList(0, Math.min(sorted.size(), count + spare));
     }
 
-    /** Puts the stronger router first, and equal ones in the order of their weights. */
+    /** Orders routers by descending capacity, then by descending weight. */
     static int compare(Peer one, Peer other, EntryWeights weights) {
         int byCapacity = Integer.compare(other.capacityPercent(), one.capacityPercent());
         if (byCapacity != 0) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryWeights.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/EntryWeights.java
@@ -8,18 +8,18 @@
 import org.apricotstack.core.routing.Rendezvous;
 
 /**
- * The places of routers in the order in which equally strong ones of a data centre take callers.
+ * Caches the weights that order the routers of a data centre that have equal capacity.
  *
- * <p>A place is a hash of names and never changes, so it is worked out once. Worked out for all routers of 83 hosts at
- * each heartbeat, and looked up in a list at each comparison, a choice took 60 ms in a process whose code is not
- * compiled yet (6 to 8 ms at the second call otherwise), at each heartbeat and each question of a caller.
+ * <p>A weight is a hash of names and never changes, so it is computed once. Computing the weights of 83 hosts at each
+ * heartbeat, and looking them up in a list at each comparison, made a choice take 60 ms before just-in-time compilation
+ * (6 to 8 ms from the second call on). The choice is made at each heartbeat and each lookup of a caller.
  */
 public final class EntryWeights {
 
     private final Map<HostId, Long> byHost = new HashMap<>();
 
     /**
-     * Returns the weight of a router; the greatest comes first.
+     * Returns the weight of a router; the router with the greatest weight comes first.
      *
      * @param peer the router
      * @return its weight
@@ -30,7 +30,7 @@
                 host -> Rendezvous.weight(peer.dataCentre().value(), host));
     }
 
-    /** Forgets hosts that are no longer known. */
+    /** Removes hosts that are no longer known. */
     void retain(Predicate<HostId> known) {
         byHost.keySet().removeIf(host -> !known.test(host));
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerFetchPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerFetchPolicy.java
@@ -1,18 +1,18 @@
 package org.apricotstack.core.peer;
 
 /**
- * Decides when a router asks a peer for documents that the platform should have told it.
+ * Decides when a router fetches published documents from a peer instead of the platform.
  *
- * <p>What goes wrong without it: the platform turns this router away, or a wait for changes is deaf, while others were
- * told of a new configuration. Peers that know no more than this router say nothing about it, so only a document that
- * arrives ends the state of being behind.
+ * <p>This covers the case that the platform rejects this router's calls, or that its watch misses a change, while other
+ * routers receive a new configuration. A heartbeat of a peer that has nothing newer does not show that this router is
+ * up to date, so only the arrival of the documents ends the state of being behind.
  */
 public final class PeerFetchPolicy {
 
-    /** Time for which the platform itself may tell what a peer knows already, in milliseconds. */
+    /** Time for which this router waits for the platform to send what a peer already has, in milliseconds. */
     public static final long PLATFORM_GRACE_MILLIS = 200;
 
-    /** Time between two questions, in milliseconds. */
+    /** Minimum time between two fetches from peers, in milliseconds. */
     static final long FETCH_INTERVAL_MILLIS = 400;
 
     private long newestConfiguration;
@@ -21,14 +21,14 @@
     private long lastFetchMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Takes in what a peer knows.
+     * Compares this router with a peer's heartbeat.
      *
-     * @param peer the peer's heartbeat
+     * @param peer the peer's state
      * @param configurationVersion version of the configuration that this router has; 0 if none
      * @param upstreamsRevision revision up to which this router knows the upstreams; 0 if it knows none
-     * @param graceMillis time for which the platform itself may tell what a peer knows already, in milliseconds
-     * @param nowMillis the time
-     * @return whether to ask this peer now
+     * @param graceMillis time to wait for the platform before asking a peer, in milliseconds
+     * @param nowMillis the current time
+     * @return whether to fetch from this peer now
      */
     public boolean shouldFetch(
             Peer peer, long configurationVersion, long upstreamsRevision, long graceMillis, long nowMillis) {
@@ -49,19 +49,19 @@
     }
 
     /**
-     * Tells whether a peer may be asked again.
+     * Tells whether the next fetch is allowed.
      *
-     * @param nowMillis the time
-     * @return whether the last question is long enough ago
+     * @param nowMillis the current time
+     * @return whether the last fetch started long enough ago
      */
     public boolean mayFetch(long nowMillis) {
         return nowMillis - lastFetchMillis >= FETCH_INTERVAL_MILLIS;
     }
 
     /**
-     * Notes that a peer was asked.
+     * Records that a fetch has started.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void fetchStarted(long nowMillis) {
         lastFetchMillis = nowMillis;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PeerTable.java
@@ -16,29 +16,32 @@
 import org.apricotstack.core.id.ProcessId;
 
 /**
- * The other routers and when each was last heard.
+ * The other routers and the time of the last heartbeat of each.
  *
- * <p>A router that is silent is not named to callers, but its placements are kept for a longer time: its requests
- * may still run at the engines while it is only cut off from here.
+ * <p>A silent router is soon left out of the addresses for callers, but its placements count for longer: if it is only
+ * partitioned from this router, its requests still run on the engines.
  */
 public final class PeerTable {
 
-    /** Least silence after which a router is not named to callers, in milliseconds: three beats of a small fleet. */
+    /** Minimum silence after which a router is suspected, in milliseconds: three heartbeats of a small fleet. */
     public static final long SUSPECT_MILLIS = 1_600;
 
-    /** Heartbeats that may be missing before a router that sends them seldom is not named. */
+    /** Missed heartbeat intervals after which a router with a long interval is suspected. */
     private static final double SUSPECT_HEARTBEATS = 2.6;
 
-    /** Silence after which a router's placements are taken off, in milliseconds. */
+    /** Minimum silence after which a router counts as dead and its placements are removed, in milliseconds. */
     public static final long DEAD_MILLIS = 4_000;
 
     /**
-     * Least silence after which its address is no longer tried, in milliseconds; longer than any usual outage. One that
-     * sends heartbeats more seldom is kept until some of them are missing.
+     * Minimum silence after which a router's address is removed, in milliseconds; longer than any usual outage. A
+     * router with a longer heartbeat interval is kept until several heartbeats are missing.
      */
     public static final long FORGET_MILLIS = 120_000;
 
-    /** Routers that callers are told at least, if there are so many: one alone would be a single point of failure. */
+    /**
+     * Minimum number of routers in an answer to a caller, if there are as many: one alone would be a single point of
+     * failure.
+     */
     private static final int MIN_CALLER_ADDRESSES = 2;
 
     private final Map<HostId, LastHeartbeat> lastHeartbeats = new HashMap<>();
@@ -46,36 +49,36 @@
     private final EntryWeights weights = new EntryWeights();
 
     /**
-     * A router's last heartbeat and its time.
+     * A router's last heartbeat.
      *
-     * @param peer what it said
-     * @param atMillis when
+     * @param peer the state it reported
+     * @param atMillis the time of arrival
      */
     private record LastHeartbeat(Peer peer, long atMillis) {
 
-        /** Returns the silence after which it is not named to callers, in milliseconds. */
+        /** Returns the silence after which the router is suspected, in milliseconds. */
         private long suspectMillis() {
             return Math.max(SUSPECT_MILLIS, (long) (SUSPECT_HEARTBEATS * peer.nextHeartbeatMillis()));
         }
 
-        /** Returns the silence after which its address is no longer tried, in milliseconds. */
+        /** Returns the silence after which its address is removed, in milliseconds. */
         private long forgetMillis() {
             return Math.max(FORGET_MILLIS, suspectMillis());
         }
 
-        /** Returns the silence after which its placements are taken off, in milliseconds. */
+        /** Returns the silence after which its placements are removed, in milliseconds. */
         private long deadMillis() {
             return Math.max(DEAD_MILLIS, suspectMillis());
         }
     }
 
     /**
-     * Takes a heartbeat in. Incarnations are not compared: they come from the time of day, which can jump back between
+     * Records a heartbeat. Incarnations are not compared: they come from the wall clock, which can jump back between
      * two starts, and only one process runs on a host.
      *
-     * @param peer what it says
-     * @param nowMillis the time
-     * @return the process that ran on that host before, if it is another one; else {@code null}
+     * @param peer the state it reports
+     * @param nowMillis the current time
+     * @return the previous process on that host if a different one ran there; otherwise {@code null}
      */
     public ProcessId recordHeartbeat(Peer peer, long nowMillis) {
         LastHeartbeat before = lastHeartbeats.get(peer.process().host());
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Notes that a connection to a router ended: it is suspected until its next heartbeat.
+     * Records the loss of a connection to a router, which is suspected until its next heartbeat.
      *
-     * @param peerAddress where the connection led
-     * @param nowMillis the time
+     * @param peerAddress the remote address of the connection
+     * @param nowMillis the current time
      */
     public void connectionLost(Address peerAddress, long nowMillis) {
         lastHeartbeats.replaceAll((host, last) -> last.peer().peerAddress().equals(peerAddress)
@@ -99,11 +102,11 @@
     }
 
     /**
-     * Takes in that another router suspects one that this router hears seldom. One that takes callers is heard often,
-     * and one that was heard just now lives; of these the own ears are believed.
+     * Records that another router suspects a host. The report only counts for a standby router without a recent
+     * heartbeat: active routers send heartbeats often, so this router detects their silence itself.
      *
-     * @param host the host that is silent there
-     * @param nowMillis the time
+     * @param host the host that is reported as silent
+     * @param nowMillis the current time
      */
     public void reportedSilent(HostId host, long nowMillis) {
         lastHeartbeats.computeIfPresent(
@@ -114,10 +117,10 @@
     }
 
     /**
-     * Returns hosts whose routers were heard before and are suspected now.
+     * Returns the hosts whose routers are suspected.
      *
-     * @param max hosts at the most
-     * @param nowMillis the time
+     * @param max maximum number of hosts
+     * @param nowMillis the current time
      * @return the hosts
      */
     public List<HostId> suspectedHosts(int max, long nowMillis) {
@@ -129,7 +132,7 @@
     }
 
     /**
-     * Adds an address at which a router may be, from the settings or from a peer.
+     * Adds a possible address of a router, from the settings or from a peer.
      *
      * @param address the address
      */
@@ -140,16 +143,16 @@
     /**
      * Returns the addresses to connect to.
      *
-     * @return the addresses; changes with this table
+     * @return a live view of the addresses
      */
     public Set<Address> addresses() {
         return Collections.unmodifiableSet(addresses);
     }
 
     /**
-     * Returns the routers heard of lately.
+     * Returns the routers with recent heartbeats.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return the routers that are not suspected
      */
     public List<Peer> alive(long nowMillis) {
@@ -163,10 +166,10 @@
     }
 
     /**
-     * Returns where a router takes other routers.
+     * Returns a router's address for other routers.
      *
      * @param host its host
-     * @return the address, or {@code null} if it was not heard
+     * @return the address, or {@code null} without a heartbeat from that host
      */
     public Address addressOf(HostId host) {
         LastHeartbeat last = lastHeartbeats.get(host);
@@ -174,11 +177,11 @@
     }
 
     /**
-     * Counts the routers that decided on requests when they were last heard, and are suspected now; those that were
-     * about to stop are not among them.
+     * Counts the suspected routers that were active at their last heartbeat. Routers that announced that they stop are
+     * not counted.
      *
-     * @param nowMillis the time
-     * @return routers
+     * @param nowMillis the current time
+     * @return number of routers
      */
     public int silentEntryRouterCount(long nowMillis) {
         return (int) lastHeartbeats.values().stream()
@@ -188,10 +191,10 @@
     }
 
     /**
-     * Forgets routers that have been silent for long.
+     * Removes routers that have been silent for too long.
      *
-     * @param nowMillis the time
-     * @return processes whose placements no longer count
+     * @param nowMillis the current time
+     * @return dead processes, whose placements no longer count
      */
     public List<ProcessId> expire(long nowMillis) {
         List<ProcessId> dead = new ArrayList<>();
@@ -214,16 +217,16 @@
     }
 
     /**
-     * Chooses the addresses that callers of a data centre are told: those of their own data centre while two or more
-     * are there, since bytes between data centres are dear and one host alone would be a single point of failure. In a
-     * large fleet only the {@link EntryRouters} of them are told, and of those the ones that said that they decide on
-     * requests: one that stands by is heard seldom, and may be gone.
+     * Chooses the addresses for callers of a data centre. Routers of that data centre are preferred if it has at least
+     * two, because traffic between data centres is expensive and one host alone would be a single point of failure. In
+     * a large fleet only {@link EntryRouters} are chosen, and of these the active ones are preferred: a standby router
+     * sends heartbeats rarely, so it may be dead unnoticed.
      *
      * @param own this router, or {@code null} if it takes no callers now
      * @param dataCentre the callers' data centre, or {@code null}
-     * @param max addresses at the most
-     * @param nowMillis the time
-     * @return addresses that take callers
+     * @param max maximum number of addresses
+     * @param nowMillis the current time
+     * @return addresses of routers that take callers
      */
     public List<Address> callerAddresses(Peer own, DataCentreId dataCentre, int max, long nowMillis) {
         List<Peer> ready = entryRouters(own, 0, nowMillis);
@@ -240,9 +243,9 @@
      * Returns the routers that callers are sent to.
      *
      * @param own this router, or {@code null} if it takes no callers now
-     * @param spare how many more of each data centre to add, as those that would be next
-     * @param nowMillis the time
-     * @return the routers in the order of their names
+     * @param spare number of additional routers per data centre, the next ones in order
+     * @param nowMillis the current time
+     * @return the routers, ordered by host name
      */
     public List<Peer> entryRouters(Peer own, int spare, long nowMillis) {
         List<Peer> ready = new ArrayList<>(alive(nowMillis));
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/PlatformReaderSelection.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/PlatformReaderSelection.java
@@ -6,22 +6,24 @@
 import org.apricotstack.core.id.HostId;
 
 /**
- * Decides whether a router of a large fleet follows the platform itself, or hears of changes from another router of its
- * data centre that does.
+ * Decides whether a router of a large fleet watches the platform itself or receives changes from another router of its
+ * data centre.
  *
- * <p>Calls to the platform are paid for, and all routers share their rate. A router follows it unless one that stands
- * before it in the order of its data centre said lately that it does and is answered. So without an election one router
- * of each data centre is left, the strongest; if it falls silent, or the platform turns it away, all others follow by
- * themselves until the next one in the order has told them that it does.
+ * <p>Calls to the platform cost money, and all routers share one rate limit. A router watches the platform unless a
+ * router that precedes it in the order of its data centre recently reported that it does so successfully. Without an
+ * election, this leaves one reader per data centre, the router with the most capacity. If the reader falls silent or
+ * the platform rejects its calls, all others watch the platform until the next one in the order has reported that it
+ * does.
  */
 public final class PlatformReaderSelection {
 
-    /** Time between two words of a reader to its data centre, in milliseconds. */
+    /** Time between two heartbeats of a reader to its data centre, in milliseconds. */
     public static final long HEARTBEAT_MILLIS = 900;
 
     /**
-     * Time for which a reader's word holds, in milliseconds: one of them may be lost. A change is in force within 3 s
-     * of its publication in the fleets that need readers; this, the look at it and one call stay below.
+     * Time for which a reader's heartbeat is valid, in milliseconds: one heartbeat may be lost. In the fleets that need
+     * readers, a change must be in force within 3 s of its publication; this time, the check interval and one call
+     * together stay below that.
      */
     public static final long VALID_MILLIS = 2_000;
 
@@ -29,19 +31,19 @@
     private final Map<HostId, ReaderHeartbeat> readers = new HashMap<>();
 
     /**
-     * What a reader said last.
+     * The last heartbeat of a reader.
      *
      * @param peer the reader
-     * @param atMillis when
+     * @param atMillis the time of arrival
      */
     private record ReaderHeartbeat(Peer peer, long atMillis) {}
 
     /**
-     * Takes a heartbeat in.
+     * Records a heartbeat.
      *
-     * @param peer who sent it
-     * @param reads whether the platform answers the sender, and it follows
-     * @param nowMillis the time
+     * @param peer the sender
+     * @param reads whether the sender watches the platform and gets answers
+     * @param nowMillis the current time
      */
     public void recordHeartbeat(Peer peer, boolean reads, long nowMillis) {
         HostId host = peer.process().host();
@@ -53,11 +55,11 @@
     }
 
     /**
-     * Tells whether a router has to follow the platform itself.
+     * Tells whether a router has to watch the platform itself.
      *
      * @param own the router
-     * @param nowMillis the time
-     * @return whether no router before it in its data centre said lately that it does
+     * @param nowMillis the current time
+     * @return whether no preceding router of its data centre recently reported that it is a reader
      */
     public boolean mustReadPlatform(Peer own, long nowMillis) {
         for (ReaderHeartbeat reader : readers.values()) {
@@ -69,19 +71,19 @@
     }
 
     /**
-     * Tells whether a router relies on another one for what the platform says.
+     * Tells whether a router receives the platform's changes from another router.
      *
      * @param own the router
-     * @param peer the other one
-     * @param nowMillis the time
-     * @return whether the other one is a reader before it in its data centre
+     * @param peer the other router
+     * @param nowMillis the current time
+     * @return whether the other router is a reader that precedes it in its data centre
      */
     public boolean reliesOn(Peer own, Peer peer, long nowMillis) {
         ReaderHeartbeat reader = readers.get(peer.process().host());
         return reader != null && nowMillis - reader.atMillis() < VALID_MILLIS && precedes(peer, own);
     }
 
-    /** Tells whether a router stands before another one of the same data centre. */
+    /** Tells whether a router precedes another router of the same data centre. */
     private boolean precedes(Peer one, Peer other) {
         return one.dataCentre().equals(other.dataCentre()) && EntryRouters.compare(one, other, weights) < 0;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
@@ -1,14 +1,14 @@
 package org.apricotstack.core.peer;
 
 /**
- * How many requests a second a router takes: rises at once, falls slowly.
+ * Requests per second of a router; the rate rises at once and decays slowly.
  *
- * <p>The number of routers that take callers follows this rate. Were it to fall as fast as it rises, callers would be
- * sent away from routers between two bursts, and come back to boards that know nothing.
+ * <p>The number of active routers depends on this rate. If it fell as fast as it rises, callers would be moved away
+ * from routers between two bursts and return to routers whose load tables are empty.
  */
 public final class RequestRate {
 
-    /** Time in which the rate falls to a third, in milliseconds: longer than callers usually keep addresses. */
+    /** Time constant of the decay, in milliseconds; longer than callers usually cache addresses. */
     static final double DECAY_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -18,9 +18,9 @@
     private double perSecond;
 
     /**
-     * Starts to count.
+     * Starts the first interval.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public RequestRate(long nowMillis) {
         this.sinceMillis = nowMillis;
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Ends a span of time and returns the rate.
+     * Ends an interval and returns the rate.
      *
-     * @param nowMillis the time
-     * @return requests a second, of this span or, if that was more, what is left of earlier ones
+     * @param nowMillis the current time
+     * @return requests per second: the rate of this interval or the decayed earlier rate, whichever is higher
      */
     public double endInterval(long nowMillis) {
         long intervalMillis = nowMillis - sinceMillis;
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Returns the rate at the end of the last span.
+     * Returns the rate at the end of the last interval.
      *
-     * @return requests a second
+     * @return requests per second
      */
     public double perSecond() {
         return perSecond;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Knows the other routers by their heartbeats, and decides which of them callers are told to use. */
+/** Tracks the other routers by their heartbeats and chooses the routers that take callers. */
 package org.apricotstack.core.peer;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/EntryRoutersTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/EntryRoutersTest.java
@@ -22,7 +22,7 @@
     private static final int LOW_CAPACITY_PERCENT = 36;
     private static final int HIGH_CAPACITY_PERCENT = 150;
 
-    /** Makes a fleet over three data centres; the first hosts of each are strong. */
+    /** Builds a fleet over three data centres; the first hosts of each have a high capacity. */
     private static List<Peer> fleet(int routers, int highCapacityEach, double requestsPerSecondEach) {
         List<Peer> peers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Symptom: processor time grows with the square of the fleet, and a day of 71 hosts costs over 501 s of it.
-     * Sequence: callers spread over all hosts, each host tells all others of each placement. Cause: all hosts were
-     * named to callers, however few carry the load.
+     * Guards against processor time that grows with the square of the fleet size: over 501 s for a day of 71 hosts. All
+     * hosts were named to callers, however few are needed for the load, so callers spread over all of them and each
+     * host sent each placement to all others.
      */
     @ParameterizedTest
     @CsvSource({"58, 1.3, 12", "71, 1.1, 12", "300, 0.3, 12"})
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerFetchPolicyTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerFetchPolicyTest.java
@@ -29,10 +29,9 @@
     }
 
     /**
-     * Symptom: a router used an old configuration for five seconds though two peers had the new one. Sequence:
-     * heartbeats
-     * of peers that know it alternate with heartbeats of a peer that does not. Cause: each of the latter reset the time
-     * since which the router counted as behind, so it never asked.
+     * Guards against a router that used an old configuration for five seconds although two peers had the new one.
+     * Heartbeats of peers with the new configuration alternated with heartbeats of a peer without it, and each of the
+     * latter reset the time since which the router counted as behind, so that it never fetched.
      */
     @Test
     void staysBehindIfAnotherPeerHasNothingNewer() {
@@ -86,9 +85,8 @@
     }
 
     /**
-     * Symptom: each change costs a router of a large fleet a whole list from a peer. Sequence: it reads changes of the
-     * platform once a second, and asks a peer that heard of one 200 ms after. Cause: a router that is patient towards
-     * the platform was not so towards peers.
+     * Guards against a router of a large fleet that fetched the whole list from a peer at each change. It polls the
+     * platform once a second, but asked a peer that had received a change earlier after only 200 ms.
      */
     @Test
     void waitsLongerIfThePlatformIsPolledLessOften() {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Symptom: a restarted router was not named for minutes. Sequence: its time of day jumped back before it started
-     * again, so its new incarnation is a smaller number. Cause: heartbeats of smaller incarnations were dropped.
+     * Guards against a restarted router that callers are not sent to for minutes: its wall clock jumped back before the
+     * restart, so its new incarnation is smaller, and heartbeats of smaller incarnations were dropped.
      */
     @Test
     void acceptsARestartedRouterWhoseWallClockJumpedBack() {
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Symptom: in a fleet of 58 hosts sound routers were not named by turns. Sequence: heartbeats are sent more seldom
-     * the more routers there are. Cause: the silence that makes a router suspected did not grow with them.
+     * Guards against healthy routers of a fleet of 58 hosts that were suspected from time to time: heartbeat intervals
+     * grow with the fleet, but the silence after which a router is suspected did not.
      */
     @Test
     void waitsLongerIfHeartbeatsAreRare() {
@@ -113,9 +113,9 @@
     }
 
     /**
-     * Symptom: the placements of a sound router vanish from the board of others. Sequence: two routers that take no
-     * callers tell each other seldom that they are there. Cause: the silence after which placements are taken off did
-     * not grow with the time between two heartbeats.
+     * Guards against placements of a healthy router that vanish from the load tables of others: standby routers
+     * exchange heartbeats rarely, but the silence after which placements are removed did not grow with the heartbeat
+     * interval.
      */
     @Test
     void keepsPlacementsOfARouterWithRareHeartbeats() {
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Symptom: a router that is gone counts as one that could take callers for most of a minute. Sequence: routers that
-     * stand by hear of each other seldom. Cause to be excluded: none of them believes those that hear it often.
+     * Guards against a dead router that counts as able to take callers for most of a minute: standby routers exchange
+     * heartbeats rarely, so they must accept reports of routers that receive heartbeats often.
      */
     @Test
     void acceptsSilenceReportsAboutRoutersWithRareHeartbeats() {
@@ -162,8 +162,8 @@
     }
 
     /**
-     * Symptom: a large fleet takes itself for a small one, and all of its routers take callers. Sequence: routers that
-     * stand by in different data centres hear of each other every three minutes. Cause: they were forgotten after two.
+     * Guards against a large fleet in which all routers take callers because each sees only a few others: standby
+     * routers in different data centres exchange heartbeats every three minutes, but were removed after two.
      */
     @Test
     void keepsRoutersWithRareHeartbeats() {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReaderSelectionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReaderSelectionTest.java
@@ -47,7 +47,10 @@
         assertThat(readers.mustReadPlatform(strong, 0)).isTrue();
     }
 
-    /** Of all that read at a start exactly one of each data centre is left, whoever is heard first. */
+    /**
+     * After a start, when all routers read, exactly one reader per data centre is left, in whatever order the
+     * heartbeats arrive.
+     */
     @Test
     void leavesOneReaderPerDataCentre() {
         for (Peer peer : new Peer[] {weak, strong, middle, remote}) {
@@ -59,9 +62,8 @@
     }
 
     /**
-     * Symptom: a change of the configuration is not in force after its bound. Sequence: the router that reads for its
-     * data centre falls silent, or the platform turns it away. Cause to be excluded: the others go on to wait for its
-     * word.
+     * Guards against a configuration change that takes effect too late because the reader of a data centre has fallen
+     * silent, or the platform rejects its calls, while the other routers keep waiting for its heartbeat.
      */
     @Test
     void readsAgainOnceTheReaderIsSilentOrRejected() {
