--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/TakenOnce.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/DuplicateAttemptFilter.java
@@ -15,36 +15,36 @@
  * and it would run again; the ledger of the upstream would show two. This memory refuses it. An attempt is
  * remembered past its time limit, as a copy that comes with its remaining time counts from its own arrival.
  */
-final class TakenOnce {
+final class DuplicateAttemptFilter {
 
     /** Time after the deadline for which an attempt is remembered, in milliseconds. */
-    static final long REMEMBERED_MILLIS = 300_000;
+    static final long RETENTION_MILLIS = 300_000;
 
-    private final Map<AttemptId, Long> untilMillis = new LinkedHashMap<>();
+    private final Map<AttemptId, Long> retainedUntilMillis = new LinkedHashMap<>();
     private final MonotonicClock clock;
 
     /** Creates an empty memory. */
-    TakenOnce(MonotonicClock clock) {
+    DuplicateAttemptFilter(MonotonicClock clock) {
         this.clock = clock;
     }
 
     /** Takes an attempt; returns whether it may be run. Work that may be repeated is not remembered. */
-    synchronized boolean take(DispatchCommand command) {
+    synchronized boolean tryAccept(DispatchCommand command) {
         if (command.work().repeatable()) {
             return true;
         }
-        long until = clock.millis() + command.deadline().remainingMillis(clock) + REMEMBERED_MILLIS;
-        return untilMillis.putIfAbsent(command.attempt(), until) == null;
+        long until = clock.millis() + command.deadline().remainingMillis(clock) + RETENTION_MILLIS;
+        return retainedUntilMillis.putIfAbsent(command.attempt(), until) == null;
     }
 
     /** Forgets what is old enough. */
     synchronized void evictExpired() {
         long now = clock.millis();
-        untilMillis.values().removeIf(until -> until <= now);
+        retainedUntilMillis.values().removeIf(until -> until <= now);
     }
 
     /** Returns how many attempts are remembered. */
     synchronized int size() {
-        return untilMillis.size();
+        return retainedUntilMillis.size();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
@@ -37,17 +37,17 @@
 public final class GroupOwner {
 
     /** Tries to release the memory of an ended attempt; after that the sweep over held streams takes over. */
-    private static final int RELEASE_TRIES = 5;
+    private static final int RELEASE_RETRIES = 5;
 
     /** Reasons that say nothing against the health of the upstream. */
-    private static final Set<RefusalReason> NOT_THE_UPSTREAM =
+    private static final Set<RefusalReason> NOT_UPSTREAM_FAULTS =
             EnumSet.of(RefusalReason.TIME_LIMIT, RefusalReason.UPSTREAM_LEAVING, RefusalReason.UPSTREAM_REFUSED);
 
-    private static final Duration RELEASE_PAUSE = Duration.ofMillis(200);
+    private static final Duration RELEASE_BACK_OFF = Duration.ofMillis(200);
 
     private final GroupScheduler scheduler;
     private final UpstreamGateway gateway;
-    private final OwnerMetrics events;
+    private final OwnerMetrics metrics;
     private final MonotonicClock clock;
     private final Scheduler timer;
     private final Map<AttemptId, OwnedAttempt> attempts = new ConcurrentHashMap<>();
@@ -58,19 +58,19 @@
      *
      * @param scheduler decides; used by this object alone
      * @param gateway the upstreams
-     * @param events counters
+     * @param metrics counters
      * @param clock the local clock
      * @param timer runs retries of releases
      */
     public GroupOwner(
             GroupScheduler scheduler,
             UpstreamGateway gateway,
-            OwnerMetrics events,
+            OwnerMetrics metrics,
             MonotonicClock clock,
             Scheduler timer) {
         this.scheduler = scheduler;
         this.gateway = gateway;
-        this.events = events;
+        this.metrics = metrics;
         this.clock = clock;
         this.timer = timer;
     }
@@ -87,40 +87,40 @@
         synchronized (scheduler) {
             scheduler.update(options, upstreams, leaving);
         }
-        pump();
+        startReadyAttempts();
     }
 
     /**
      * Takes an attempt.
      *
-     * @param item the attempt
+     * @param queued the attempt
      * @return its events, from {@code Queued} to the last; cancelling the subscription cancels the attempt
      */
-    public Flux<AttemptEvent> dispatch(QueuedAttempt item) {
-        return Flux.defer(() -> accept(item));
+    public Flux<AttemptEvent> dispatch(QueuedAttempt queued) {
+        return Flux.defer(() -> accept(queued));
     }
 
     /** Queues an attempt or refuses it. */
-    private Flux<AttemptEvent> accept(QueuedAttempt item) {
-        AttemptId id = item.command().attempt();
-        OwnedAttempt attempt = new OwnedAttempt(item, clock);
+    private Flux<AttemptEvent> accept(QueuedAttempt queued) {
+        AttemptId id = queued.command().attempt();
+        OwnedAttempt attempt = new OwnedAttempt(queued, clock);
         Refusal refusal;
         synchronized (scheduler) {
-            refusal = scheduler.offer(item);
+            refusal = scheduler.offer(queued);
             if (refusal == null) {
                 attempts.put(id, attempt);
             }
         }
         if (refusal != null) {
-            events.attemptRefused(refusal.reason());
+            metrics.attemptRefused(refusal.reason());
             return Flux.just(AttemptEvent.refused(id, refusal, null).withLoad(load()));
         }
         attempt.emit(new AttemptEvent(id, load(), new AttemptSignal.Queued()));
-        return attempt.flux().doOnSubscribe(s -> pump()).doOnCancel(() -> abandon(attempt));
+        return attempt.flux().doOnSubscribe(s -> startReadyAttempts()).doOnCancel(() -> abandon(attempt));
     }
 
     /** Starts what can start. */
-    private void pump() {
+    private void startReadyAttempts() {
         List<Assignment> assignments;
         synchronized (scheduler) {
             assignments = scheduler.startReady();
@@ -132,8 +132,8 @@
     private void start(Assignment assignment) {
         DispatchCommand command = assignment.item().command();
         OwnedAttempt attempt = attempts.get(command.attempt());
-        long remaining = command.deadline().remainingMillis(clock);
-        if (attempt == null || remaining <= 0) {
+        long remainingMillis = command.deadline().remainingMillis(clock);
+        if (attempt == null || remainingMillis <= 0) {
             // The process may have been paused between queueing and this point: what has expired is not sent.
             finish(attempt, command.attempt(), Refusal.notRun(RefusalReason.TIME_LIMIT, 0), null);
             return;
@@ -141,9 +141,9 @@
         Upstream lead = assignment.upstreams().get(0);
         attempt.started(assignment);
         attempt.emit(new AttemptEvent(command.attempt(), load(), new AttemptSignal.Started(lead.id())));
-        Disposable subscription = gateway.run(assignment, remaining)
+        Disposable subscription = gateway.run(assignment, remainingMillis)
                 .subscribe(
-                        event -> relay(attempt, event),
+                        event -> handleEvent(attempt, event),
                         error -> fail(attempt, error),
                         () -> fail(
                                 attempt,
@@ -152,28 +152,28 @@
     }
 
     /** Passes an event on after checking it. */
-    private void relay(OwnedAttempt attempt, AttemptEvent event) {
-        attempt.heard(clock);
+    private void handleEvent(OwnedAttempt attempt, AttemptEvent event) {
+        attempt.eventReceived(clock);
         if (attempt.isEnded()) {
             return;
         }
         switch (attempt.guard().check(event)) {
-            case PASS -> pass(attempt, event);
-            case REPEATED -> events.ownerEventDropped(StreamVerdict.REPEATED);
-            case LATE -> events.ownerEventDropped(StreamVerdict.LATE);
+            case PASS -> forward(attempt, event);
+            case REPEATED -> metrics.ownerEventDropped(StreamVerdict.REPEATED);
+            case LATE -> metrics.ownerEventDropped(StreamVerdict.LATE);
             case CROSSED -> {
-                events.ownerEventDropped(StreamVerdict.CROSSED);
+                metrics.ownerEventDropped(StreamVerdict.CROSSED);
                 fail(attempt, Refusal.unknown(RefusalReason.ANSWER_CROSSED).toException());
             }
             default -> {
-                events.ownerEventDropped(StreamVerdict.CUT);
+                metrics.ownerEventDropped(StreamVerdict.CUT);
                 fail(attempt, Refusal.unknown(RefusalReason.ANSWER_CUT).toException());
             }
         }
     }
 
     /** Passes a checked event on and keeps account. */
-    private void pass(OwnedAttempt attempt, AttemptEvent event) {
+    private void forward(OwnedAttempt attempt, AttemptEvent event) {
         AttemptId id = attempt.id();
         AttemptSignal signal = event.signal();
         if (signal instanceof AttemptSignal.Refused refused) {
@@ -186,13 +186,13 @@
             }
             synchronized (scheduler) {
                 scheduler.completed(
-                        id, completed.total() - attempt.item().command().resumeOffset());
+                        id, completed.total() - attempt.queued().command().resumeOffset());
             }
             attempts.remove(id);
             release(attempt, attempt.helpers());
-            events.promptServed(completed.promptTokens(), completed.cachedTokens());
+            metrics.promptServed(completed.promptTokens(), completed.cachedTokens());
             attempt.end(event.withLoad(load()));
-            pump();
+            startReadyAttempts();
             return;
         }
         boolean first = signal instanceof AttemptSignal.Chunk && attempt.markFirstChunk();
@@ -200,7 +200,7 @@
             synchronized (scheduler) {
                 scheduler.firstToken(id);
             }
-            pump();
+            startReadyAttempts();
         }
         attempt.emit(first ? event.withLoad(load()) : event);
     }
@@ -219,19 +219,19 @@
 
     /** Ends an attempt without a whole answer, and releases what engines may hold for it. */
     private void finish(OwnedAttempt attempt, AttemptId id, Refusal refusal, UpstreamId upstream) {
-        boolean upstreamFault = upstream != null && !NOT_THE_UPSTREAM.contains(refusal.reason());
+        boolean upstreamFault = upstream != null && !NOT_UPSTREAM_FAULTS.contains(refusal.reason());
         synchronized (scheduler) {
             scheduler.cancelWaiting(id);
             scheduler.failed(id, upstreamFault);
         }
         attempts.remove(id);
         if (attempt != null && attempt.markEnded()) {
-            events.attemptRefused(refusal.reason());
+            metrics.attemptRefused(refusal.reason());
             attempt.cancelUpstream();
             release(attempt, attempt.upstreams());
             attempt.end(AttemptEvent.refused(id, refusal, upstream).withLoad(load()));
         }
-        pump();
+        startReadyAttempts();
     }
 
     /** Ends an attempt that its entry router has given up. */
@@ -244,7 +244,7 @@
         for (Upstream upstream : engines) {
             if (upstream.memoryTokens() > 0) {
                 gateway.release(upstream, attempt.id())
-                        .retryWhen(Retry.backoff(RELEASE_TRIES, RELEASE_PAUSE)
+                        .retryWhen(Retry.backoff(RELEASE_RETRIES, RELEASE_BACK_OFF)
                                 .jitter(0)
                                 .scheduler(timer))
                         .subscribe(done -> {}, error -> {});
@@ -254,28 +254,28 @@
 
     /** Looks after time limits, silent streams and heartbeats; to be called every few tens of milliseconds. */
     public void tick() {
-        List<QueuedAttempt> hopeless;
+        List<QueuedAttempt> expired;
         synchronized (scheduler) {
-            hopeless = scheduler.expire();
+            expired = scheduler.expire();
         }
-        for (QueuedAttempt item : hopeless) {
-            AttemptId id = item.command().attempt();
-            boolean over = item.command().deadline().hasPassed(clock);
-            RefusalReason reason = over ? RefusalReason.TIME_LIMIT : RefusalReason.CANNOT_FINISH_IN_TIME;
+        for (QueuedAttempt queued : expired) {
+            AttemptId id = queued.command().attempt();
+            boolean deadlinePassed = queued.command().deadline().hasPassed(clock);
+            RefusalReason reason = deadlinePassed ? RefusalReason.TIME_LIMIT : RefusalReason.CANNOT_FINISH_IN_TIME;
             finish(attempts.get(id), id, Refusal.notRun(reason, load().shortDelayMillis()), null);
         }
         for (OwnedAttempt attempt : attempts.values()) {
-            watch(attempt);
+            checkRunning(attempt);
         }
-        pump();
+        startReadyAttempts();
     }
 
     /** Ends an attempt that is past its limit or whose upstream is silent. */
-    private void watch(OwnedAttempt attempt) {
+    private void checkRunning(OwnedAttempt attempt) {
         if (!attempt.isStarted()) {
             return;
         }
-        if (attempt.item().command().deadline().hasPassed(clock)) {
+        if (attempt.queued().command().deadline().hasPassed(clock)) {
             finish(
                     attempt,
                     attempt.id(),
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
@@ -20,22 +20,23 @@
 final class OwnedAttempt {
 
     /** Pace at which an upstream takes a body at the least, in bytes a millisecond. */
-    private static final long SLOWEST_UPLOAD_BYTES_PER_MILLI = 4_000;
+    private static final long MIN_UPLOAD_BYTES_PER_MILLI = 4_000;
 
-    private final QueuedAttempt item;
+    private final QueuedAttempt queued;
     private final StreamGuard guard;
     private final Sinks.Many<AttemptEvent> sink = Sinks.many().unicast().onBackpressureBuffer();
     private final Disposable.Swap subscription = Disposables.swap();
     private final AtomicBoolean ended = new AtomicBoolean();
     private final AtomicBoolean firstChunk = new AtomicBoolean();
     private volatile Assignment assignment;
-    private volatile long heardNanos;
+    private volatile long lastEventNanos;
 
     /** Creates the state of an attempt that waits. */
-    OwnedAttempt(QueuedAttempt item, MonotonicClock clock) {
-        this.item = item;
-        this.guard = new StreamGuard(item.command().attempt(), item.command().resumeOffset());
-        this.heardNanos = clock.nanos();
+    OwnedAttempt(QueuedAttempt queued, MonotonicClock clock) {
+        this.queued = queued;
+        this.guard =
+                new StreamGuard(queued.command().attempt(), queued.command().resumeOffset());
+        this.lastEventNanos = clock.nanos();
     }
 
     /** Returns the events for the entry router. */
@@ -74,13 +75,13 @@
     }
 
     /** Notes that the upstream gave a sign of life. */
-    void heard(MonotonicClock clock) {
-        heardNanos = clock.nanos();
+    void eventReceived(MonotonicClock clock) {
+        lastEventNanos = clock.nanos();
     }
 
     /** Returns the time since the last sign of life, in milliseconds. */
     long silentMillis(MonotonicClock clock) {
-        return (clock.nanos() - heardNanos) / Deadline.NANOS_PER_MILLI;
+        return (clock.nanos() - lastEventNanos) / Deadline.NANOS_PER_MILLI;
     }
 
     /** Marks the end; returns whether this call was the first to do so. */
@@ -117,7 +118,7 @@
 
     /** Returns the time in which an upstream may be silent because it still reads the body, in milliseconds. */
     long uploadMillis() {
-        return firstChunk.get() ? 0 : item.command().work().body().length / SLOWEST_UPLOAD_BYTES_PER_MILLI;
+        return firstChunk.get() ? 0 : queued.command().work().body().length / MIN_UPLOAD_BYTES_PER_MILLI;
     }
 
     /** Returns the upstream that leads, or {@code null} while the attempt waits. */
@@ -132,12 +133,12 @@
     }
 
     /** Returns the attempt as it was queued. */
-    QueuedAttempt item() {
-        return item;
+    QueuedAttempt queued() {
+        return queued;
     }
 
     /** Returns the name of the attempt. */
     AttemptId id() {
-        return item.command().attempt();
+        return queued.command().attempt();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerMetrics.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerMetrics.java
@@ -34,7 +34,7 @@
     /**
      * Counts an order to an engine.
      *
-     * @param taken whether the engine took it
+     * @param accepted whether the engine took it
      */
-    void orderSent(boolean taken);
+    void orderSent(boolean accepted);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
@@ -37,11 +37,11 @@
 public final class OwnerService {
 
     private final Map<GroupId, GroupOwner> owners = new ConcurrentHashMap<>();
-    private final TakenOnce takenOnce;
+    private final DuplicateAttemptFilter duplicates;
     private final Supplier<FleetConfiguration> configuration;
     private final Supplier<Set<UpstreamId>> leaving;
     private final UpstreamGateway gateway;
-    private final OwnerMetrics events;
+    private final OwnerMetrics metrics;
     private final MonotonicClock clock;
     private final Scheduler timer;
 
@@ -51,7 +51,7 @@
      * @param configuration the configuration in force, {@code null} before the first
      * @param leaving upstreams that the platform lists as leaving
      * @param gateway the upstreams
-     * @param events counters
+     * @param metrics counters
      * @param clock the local clock
      * @param timer runs retries of releases
      */
@@ -59,15 +59,15 @@
             Supplier<FleetConfiguration> configuration,
             Supplier<Set<UpstreamId>> leaving,
             UpstreamGateway gateway,
-            OwnerMetrics events,
+            OwnerMetrics metrics,
             MonotonicClock clock,
             Scheduler timer) {
         this.configuration = configuration;
         this.leaving = leaving;
         this.gateway = gateway;
-        this.events = events;
+        this.metrics = metrics;
         this.clock = clock;
-        this.takenOnce = new TakenOnce(clock);
+        this.duplicates = new DuplicateAttemptFilter(clock);
         this.timer = timer;
     }
 
@@ -82,26 +82,26 @@
         Group group = current == null ? null : current.group(command.group());
         if (group == null) {
             RefusalReason reason = current == null ? RefusalReason.NO_CONFIGURATION : RefusalReason.NO_GROUP;
-            events.attemptRefused(reason);
+            metrics.attemptRefused(reason);
             return Flux.just(AttemptEvent.refused(command.attempt(), Refusal.notRun(reason, 0), null));
         }
-        if (!takenOnce.take(command)) {
-            events.attemptRefused(RefusalReason.DUPLICATE_ATTEMPT);
+        if (!duplicates.tryAccept(command)) {
+            metrics.attemptRefused(RefusalReason.DUPLICATE_ATTEMPT);
             Refusal refusal = Refusal.unknown(RefusalReason.DUPLICATE_ATTEMPT);
             return Flux.just(AttemptEvent.refused(command.attempt(), refusal, null));
         }
         Service service = current.service(command.work().service());
         int priority = service == null ? Service.LEAST_URGENT : service.priority();
         LengthClass lengthClass = current.limits().lengthClass(command.work().promptTokens());
-        QueuedAttempt item = new QueuedAttempt(command, lengthClass, priority, clock.nanos());
-        return owner(current, group).dispatch(item);
+        QueuedAttempt queued = new QueuedAttempt(command, lengthClass, priority, clock.nanos());
+        return owner(current, group).dispatch(queued);
     }
 
     /** Returns the owner of a group, created on the first use. */
     private GroupOwner owner(FleetConfiguration current, Group group) {
         return owners.computeIfAbsent(group.id(), id -> {
             SchedulerOptions options = options(current, group);
-            GroupOwner owner = new GroupOwner(new GroupScheduler(id, options, clock), gateway, events, clock, timer);
+            GroupOwner owner = new GroupOwner(new GroupScheduler(id, options, clock), gateway, metrics, clock, timer);
             owner.update(options, current.upstreams(id), leaving.get());
             return owner;
         });
@@ -143,7 +143,7 @@
 
     /** Forgets what needs no memory any more; to be called every few seconds. */
     public void evictExpired() {
-        takenOnce.evictExpired();
+        duplicates.evictExpired();
     }
 
     /** Sends a heartbeat on each stream. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamReconciler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamReconciler.java
@@ -18,19 +18,19 @@
 
     private final UpstreamGateway gateway;
     private final MembershipTable members;
-    private final OwnerMetrics events;
+    private final OwnerMetrics metrics;
 
     /**
      * Creates a reconciler.
      *
      * @param gateway the upstreams
      * @param members what is known of the routers
-     * @param events counters
+     * @param metrics counters
      */
-    public UpstreamReconciler(UpstreamGateway gateway, MembershipTable members, OwnerMetrics events) {
+    public UpstreamReconciler(UpstreamGateway gateway, MembershipTable members, OwnerMetrics metrics) {
         this.gateway = gateway;
         this.members = members;
-        this.events = events;
+        this.metrics = metrics;
     }
 
     /**
@@ -42,16 +42,16 @@
      */
     public Mono<Void> reconcile(FleetConfiguration configuration, Group group) {
         return Flux.fromIterable(DesiredUpstreamStates.of(configuration, group))
-                .flatMap(order -> {
-                    Upstream upstream = configuration.upstream(order.upstream());
-                    Mono<Void> sweep = sweep(upstream).onErrorResume(error -> Mono.empty());
-                    return sweep.then(keepTo(upstream, order).onErrorResume(error -> Mono.empty()));
+                .flatMap(desired -> {
+                    Upstream upstream = configuration.upstream(desired.upstream());
+                    Mono<Void> released = releaseOrphaned(upstream).onErrorResume(error -> Mono.empty());
+                    return released.then(reconcileState(upstream, desired).onErrorResume(error -> Mono.empty()));
                 })
                 .then();
     }
 
     /** Releases what one engine holds for nobody. */
-    private Mono<Void> sweep(Upstream upstream) {
+    private Mono<Void> releaseOrphaned(Upstream upstream) {
         return gateway.heldStreams(upstream)
                 .flatMapIterable(held -> held)
                 .filter(held -> ReleaseRule.mayRelease(held, members))
@@ -60,18 +60,18 @@
                     if (attempt == null) {
                         return Mono.<Void>empty();
                     }
-                    events.memoryReleased();
+                    metrics.memoryReleased();
                     return gateway.release(upstream, attempt);
                 })
                 .then();
     }
 
     /** Orders one engine if it is not what the configuration wants. */
-    private Mono<Void> keepTo(Upstream upstream, DesiredUpstreamState wanted) {
+    private Mono<Void> reconcileState(Upstream upstream, DesiredUpstreamState desired) {
         return gateway.state(upstream)
-                .filter(state -> !wanted.isSatisfiedBy(state))
-                .flatMap(state -> gateway.order(upstream, wanted))
-                .doOnNext(events::orderSent)
+                .filter(state -> !desired.isSatisfiedBy(state))
+                .flatMap(state -> gateway.order(upstream, desired))
+                .doOnNext(metrics::orderSent)
                 .then();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
@@ -24,7 +24,7 @@
         "100, 1000, 4, true",
         "100, 1000, 6, false"
     })
-    void releasesOnlyWhatNobodyNeeds(long ageMillis, long limitMillis, long owner, boolean expected) {
+    void releasesOnlyOrphanedMemory(long ageMillis, long limitMillis, long owner, boolean expected) {
         MembershipTable members = new MembershipTable(new ProcessId(new HostId("self"), 1), 1_000);
         members.recordAlive(new ProcessId(new HostId("other"), 5), 0);
         HeldStream held = new HeldStream("r~1", new ProcessId(new HostId("other"), owner), ageMillis, limitMillis);
