--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/DuplicateAttemptFilter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/DuplicateAttemptFilter.java
@@ -8,27 +8,27 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * Remembers attempts that must run at most once, beyond their end.
+ * Rejects second copies of attempts that must run at most once, even after the first copy has ended.
  *
- * <p>What goes wrong: a second copy of a dispatch arrives after the first has ended, from a library that sends
- * again or from a socket that waited while the process was paused. Queue and running attempts no longer know it,
- * and it would run again; the ledger of the upstream would show two. This memory refuses it. An attempt is
- * remembered past its time limit, as a copy that comes with its remaining time counts from its own arrival.
+ * <p>A second copy of a dispatch can arrive after the first has ended, from a library that resends or from a socket
+ * buffer that was not read while the process was paused. The queue and the running attempts no longer contain the
+ * attempt, so without this record it would run twice on an upstream. The record is kept past the time limit of the
+ * attempt, because the remaining time of a copy counts from its own arrival.
  */
 final class DuplicateAttemptFilter {
 
-    /** Time after the deadline for which an attempt is remembered, in milliseconds. */
+    /** Time after the deadline for which an attempt is recorded, in milliseconds. */
     static final long RETENTION_MILLIS = 300_000;
 
     private final Map<AttemptId, Long> retainedUntilMillis = new LinkedHashMap<>();
     private final MonotonicClock clock;
 
-    /** Creates an empty memory. */
+    /** Creates a filter without records. */
     DuplicateAttemptFilter(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** Takes an attempt; returns whether it may be run. Work that may be repeated is not remembered. */
+    /** Records an attempt and returns whether it may run. Repeatable work is not recorded. */
     synchronized boolean tryAccept(DispatchCommand command) {
         if (command.work().repeatable()) {
             return true;
@@ -37,13 +37,13 @@
         return retainedUntilMillis.putIfAbsent(command.attempt(), until) == null;
     }
 
-    /** Forgets what is old enough. */
+    /** Removes records whose retention time is over. */
     synchronized void evictExpired() {
         long now = clock.millis();
         retainedUntilMillis.values().removeIf(until -> until <= now);
     }
 
-    /** Returns how many attempts are remembered. */
+    /** Returns the number of recorded attempts. */
     synchronized int size() {
         return retainedUntilMillis.size();
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
@@ -30,16 +30,17 @@
 import reactor.util.retry.Retry;
 
 /**
- * Runs the work of one group: queue, engines, watch over streams, and release of engine memory.
+ * Runs the attempts of one group: queues them, dispatches them to upstreams, supervises their streams and releases
+ * engine memory.
  *
  * <p>Decisions are made under the lock of the scheduler; nothing is sent while it is held.
  */
 public final class GroupOwner {
 
-    /** Tries to release the memory of an ended attempt; after that the sweep over held streams takes over. */
+    /** Retries of releasing the memory of an ended attempt; after these, {@link UpstreamReconciler} releases it. */
     private static final int RELEASE_RETRIES = 5;
 
-    /** Reasons that say nothing against the health of the upstream. */
+    /** Reasons that do not count as failures of the upstream. */
     private static final Set<RefusalReason> NOT_UPSTREAM_FAULTS =
             EnumSet.of(RefusalReason.TIME_LIMIT, RefusalReason.UPSTREAM_LEAVING, RefusalReason.UPSTREAM_REFUSED);
 
@@ -56,7 +57,7 @@
     /**
      * Creates the owner of a group.
      *
-     * @param scheduler decides; used by this object alone
+     * @param scheduler makes the decisions; used by this object only
      * @param gateway the upstreams
      * @param metrics counters
      * @param clock the local clock
@@ -76,9 +77,9 @@
     }
 
     /**
-     * Takes new published facts.
+     * Applies newly published facts.
      *
-     * @param options limits, order and choice
+     * @param options limits, queue order and upstream choice
      * @param upstreams the upstreams of the group
      * @param leaving upstreams that get no new work
      */
@@ -91,7 +92,7 @@
     }
 
     /**
-     * Takes an attempt.
+     * Runs an attempt.
      *
      * @param queued the attempt
      * @return its events, from {@code Queued} to the last; cancelling the subscription cancels the attempt
@@ -119,7 +120,7 @@
         return attempt.flux().doOnSubscribe(s -> startReadyAttempts()).doOnCancel(() -> abandon(attempt));
     }
 
-    /** Starts what can start. */
+    /** Starts the attempts that the scheduler releases. */
     private void startReadyAttempts() {
         List<Assignment> assignments;
         synchronized (scheduler) {
@@ -128,13 +129,13 @@
         assignments.forEach(this::start);
     }
 
-    /** Gives an attempt to its upstreams. */
+    /** Dispatches an attempt to its upstreams. */
     private void start(Assignment assignment) {
         DispatchCommand command = assignment.item().command();
         OwnedAttempt attempt = attempts.get(command.attempt());
         long remainingMillis = command.deadline().remainingMillis(clock);
         if (attempt == null || remainingMillis <= 0) {
-            // The process may have been paused between queueing and this point: what has expired is not sent.
+            // The process may have been paused between queueing and this point; an expired attempt is not sent.
             finish(attempt, command.attempt(), Refusal.notRun(RefusalReason.TIME_LIMIT, 0), null);
             return;
         }
@@ -151,7 +152,7 @@
         attempt.setSubscription(subscription);
     }
 
-    /** Passes an event on after checking it. */
+    /** Checks an event and forwards it. */
     private void handleEvent(OwnedAttempt attempt, AttemptEvent event) {
         attempt.eventReceived(clock);
         if (attempt.isEnded()) {
@@ -172,7 +173,7 @@
         }
     }
 
-    /** Passes a checked event on and keeps account. */
+    /** Forwards a checked event and updates the scheduler. */
     private void forward(OwnedAttempt attempt, AttemptEvent event) {
         AttemptId id = attempt.id();
         AttemptSignal signal = event.signal();
@@ -217,7 +218,7 @@
         finish(attempt, attempt.id(), refusal, upstream);
     }
 
-    /** Ends an attempt without a whole answer, and releases what engines may hold for it. */
+    /** Ends an attempt without a complete answer, and releases the memory that engines may hold for it. */
     private void finish(OwnedAttempt attempt, AttemptId id, Refusal refusal, UpstreamId upstream) {
         boolean upstreamFault = upstream != null && !NOT_UPSTREAM_FAULTS.contains(refusal.reason());
         synchronized (scheduler) {
@@ -234,12 +235,15 @@
         startReadyAttempts();
     }
 
-    /** Ends an attempt that its entry router has given up. */
+    /** Ends an attempt that its entry router has cancelled. */
     private void abandon(OwnedAttempt attempt) {
         finish(attempt, attempt.id(), Refusal.unknown(RefusalReason.OWNER_LOST), null);
     }
 
-    /** Tells engines to release the memory of an ended attempt; the connection of the attempt may be silent. */
+    /**
+     * Tells engines to release the memory of an ended attempt. This needs a separate call, because the attempt's own
+     * connection may be silent.
+     */
     private void release(OwnedAttempt attempt, List<Upstream> engines) {
         for (Upstream upstream : engines) {
             if (upstream.memoryTokens() > 0) {
@@ -252,7 +256,7 @@
         }
     }
 
-    /** Looks after time limits, silent streams and heartbeats; to be called every few tens of milliseconds. */
+    /** Enforces time limits and ends silent streams; to be called every few tens of milliseconds. */
     public void tick() {
         List<QueuedAttempt> expired;
         synchronized (scheduler) {
@@ -270,7 +274,7 @@
         startReadyAttempts();
     }
 
-    /** Ends an attempt that is past its limit or whose upstream is silent. */
+    /** Ends a running attempt that is past its time limit or whose upstream is silent. */
     private void checkRunning(OwnedAttempt attempt) {
         if (!attempt.isStarted()) {
             return;
@@ -305,7 +309,7 @@
     }
 
     /**
-     * Returns what operators see.
+     * Returns the status for operators.
      *
      * @return queue, running attempts and upstreams
      */
@@ -328,9 +332,9 @@
     /**
      * Queue, running attempts and upstreams of a group.
      *
-     * @param load the load as callers are told
-     * @param waiting attempts in the queue
-     * @param running attempts that run
+     * @param load the load as reported to entry routers
+     * @param waiting number of attempts in the queue
+     * @param running number of running attempts
      * @param upstreams the upstreams
      */
     public record OwnerStatus(GroupLoad load, int waiting, int running, List<UpstreamStatus> upstreams) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
@@ -19,7 +19,7 @@
 /** The state of one attempt at the owner of its group. */
 final class OwnedAttempt {
 
-    /** Pace at which an upstream takes a body at the least, in bytes a millisecond. */
+    /** Minimum rate at which an upstream reads a body, in bytes per millisecond. */
     private static final long MIN_UPLOAD_BYTES_PER_MILLI = 4_000;
 
     private final QueuedAttempt queued;
@@ -31,7 +31,7 @@
     private volatile Assignment assignment;
     private volatile long lastEventNanos;
 
-    /** Creates the state of an attempt that waits. */
+    /** Creates the state of a queued attempt. */
     OwnedAttempt(QueuedAttempt queued, MonotonicClock clock) {
         this.queued = queued;
         this.guard =
@@ -56,12 +56,12 @@
         sink.tryEmitComplete();
     }
 
-    /** Notes that the attempt is given to upstreams. */
+    /** Records that the attempt was dispatched to upstreams. */
     void started(Assignment newAssignment) {
         assignment = newAssignment;
     }
 
-    /** Keeps the subscription to the upstream; it is cancelled at once if the attempt has ended meanwhile. */
+    /** Stores the subscription to the upstream, which is cancelled at once if the attempt has already ended. */
     void setSubscription(Disposable newSubscription) {
         subscription.update(newSubscription);
         if (ended.get()) {
@@ -74,12 +74,12 @@
         subscription.dispose();
     }
 
-    /** Notes that the upstream gave a sign of life. */
+    /** Records the time of an event from the upstream. */
     void eventReceived(MonotonicClock clock) {
         lastEventNanos = clock.nanos();
     }
 
-    /** Returns the time since the last sign of life, in milliseconds. */
+    /** Returns the time since the last event from the upstream, in milliseconds. */
     long silentMillis(MonotonicClock clock) {
         return (clock.nanos() - lastEventNanos) / Deadline.NANOS_PER_MILLI;
     }
@@ -99,29 +99,33 @@
         return ended.get();
     }
 
-    /** Tells whether the attempt was given to upstreams. */
+    /** Tells whether the attempt was dispatched to upstreams. */
     boolean isStarted() {
         return assignment != null;
     }
 
-    /** Returns the upstreams, empty while the attempt waits. */
+    /** Returns the upstreams, empty while the attempt is queued. */
     List<Upstream> upstreams() {
         Assignment current = assignment;
         return current == null ? List.of() : current.upstreams();
     }
 
-    /** Returns the upstreams that hold a part of the prompt for the lead, and that do not see its answer end. */
+    /**
+     * Returns the helpers, which prefill parts of the prompt for the lead and are not notified when its answer ends.
+     */
     List<Upstream> helpers() {
         List<Upstream> current = upstreams();
         return current.size() < 2 ? List.of() : current.subList(1, current.size());
     }
 
-    /** Returns the time in which an upstream may be silent because it still reads the body, in milliseconds. */
+    /**
+     * Returns the additional time for which an upstream may be silent while it still reads the body, in milliseconds.
+     */
     long uploadMillis() {
         return firstChunk.get() ? 0 : queued.command().work().body().length / MIN_UPLOAD_BYTES_PER_MILLI;
     }
 
-    /** Returns the upstream that leads, or {@code null} while the attempt waits. */
+    /** Returns the upstream that generates the answer, or {@code null} while the attempt is queued. */
     Upstream lead() {
         List<Upstream> current = upstreams();
         return current.isEmpty() ? null : current.get(0);
@@ -132,12 +136,12 @@
         return guard;
     }
 
-    /** Returns the attempt as it was queued. */
+    /** Returns the queued attempt. */
     QueuedAttempt queued() {
         return queued;
     }
 
-    /** Returns the name of the attempt. */
+    /** Returns the id of the attempt. */
     AttemptId id() {
         return queued.command().attempt();
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerMetrics.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerMetrics.java
@@ -14,27 +14,27 @@
     void attemptRefused(RefusalReason reason);
 
     /**
-     * Counts an event that was not passed on.
+     * Counts an event that was not forwarded.
      *
      * @param verdict why
      */
     void ownerEventDropped(StreamVerdict verdict);
 
     /**
-     * Counts prompt tokens of a whole answer.
+     * Counts the prompt tokens of a complete answer.
      *
      * @param promptTokens tokens of the prompt
-     * @param cachedTokens of these, tokens that were not computed again
+     * @param cachedTokens how many of these came from the KV cache
      */
     void promptServed(long promptTokens, long cachedTokens);
 
-    /** Counts memory that was released for an attempt that nobody needs any more. */
+    /** Counts a release of memory that an engine held for an abandoned attempt. */
     void memoryReleased();
 
     /**
      * Counts an order to an engine.
      *
-     * @param accepted whether the engine took it
+     * @param accepted whether the engine accepted it
      */
     void orderSent(boolean accepted);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
@@ -29,10 +29,10 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * The groups whose work this router runs.
+ * The groups that this router owns.
  *
- * <p>Any group that a peer sends work for is taken on: the sender decides who the owner is, by its own picture of the
- * routers, and a refusal because of another picture would only cost time.
+ * <p>Attempts of any group are accepted: the sender determines the owner from its own membership view, and a refusal
+ * because of a different view would only cost time.
  */
 public final class OwnerService {
 
@@ -118,7 +118,7 @@
                 plain ? new LeastInFlightUpstreamChooser() : new LeastFirstTokenUpstreamChooser());
     }
 
-    /** Takes a new configuration or list of leaving upstreams into all groups. */
+    /** Applies a new configuration or list of leaving upstreams to all groups. */
     public void refresh() {
         FleetConfiguration current = configuration.get();
         if (current == null) {
@@ -136,12 +136,12 @@
         });
     }
 
-    /** Looks after time limits and silent streams; to be called every few tens of milliseconds. */
+    /** Enforces time limits and ends silent streams; to be called every few tens of milliseconds. */
     public void tick() {
         owners.values().forEach(GroupOwner::tick);
     }
 
-    /** Forgets what needs no memory any more; to be called every few seconds. */
+    /** Evicts expired records of attempts; to be called every few seconds. */
     public void evictExpired() {
         duplicates.evictExpired();
     }
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Returns how many attempts wait or run here.
+     * Returns the number of queued and running attempts.
      *
      * @return the number over all groups
      */
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Returns the groups that have or had work here.
+     * Returns the groups that have or had attempts here.
      *
      * @return owners by group
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/ReleaseRule.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/ReleaseRule.java
@@ -3,12 +3,12 @@
 import org.apricotstack.core.membership.MembershipTable;
 
 /**
- * Decides which memory of an engine nobody needs any more.
+ * Decides which memory of an engine is orphaned and can be released.
  *
- * <p>A stream of another owner is not released merely because this process does not know it: during a split the other
- * owner may still be serving it. It is released when its own time limit is over by the engine's clock, or when a
- * later process has started on its owner's host, as the process that could have passed the answer on is then gone
- * for certain.
+ * <p>A stream of another owner is not released merely because this process does not know it: during a network partition
+ * the other owner may still be serving it. It is released when its time limit has passed by the engine's clock, or when
+ * a later process has started on its owner's host, because the process that could have forwarded the answer is then
+ * certainly dead.
  */
 public final class ReleaseRule {
 
@@ -18,11 +18,11 @@
     private ReleaseRule() {}
 
     /**
-     * Judges one stream.
+     * Decides about one stream.
      *
-     * @param held what the engine holds
-     * @param members what is known of the routers
-     * @return whether it is to be released
+     * @param held the memory that the engine holds
+     * @param members the membership table
+     * @return whether to release it
      */
     public static boolean mayRelease(HeldStream held, MembershipTable members) {
         if (held.ageMillis() > held.timeLimitMillis() + GRACE_MILLIS) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamGateway.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamGateway.java
@@ -17,42 +17,42 @@
      * Runs an attempt.
      *
      * @param assignment the attempt and its upstreams
-     * @param remainingMillis time left for it
-     * @return its events; ends with the last event, or with an error if the connection was lost
+     * @param remainingMillis time until its deadline, in milliseconds
+     * @return its events; completes after the last event, or fails if the connection was lost
      */
     Flux<AttemptEvent> run(Assignment assignment, long remainingMillis);
 
     /**
-     * Releases what an engine holds for an attempt, over a connection that is not the attempt's own.
+     * Releases the memory that an engine holds for an attempt, over a connection other than the attempt's own.
      *
      * @param upstream the engine
      * @param attempt the attempt
-     * @return ends when the engine has confirmed
+     * @return completes when the engine has confirmed
      */
     Mono<Void> release(Upstream upstream, AttemptId attempt);
 
     /**
-     * Lists what an engine holds.
+     * Lists the memory that an engine holds.
      *
      * @param upstream the engine
-     * @return what it holds, of all owners
+     * @return the held streams of all owners
      */
     Mono<List<HeldStream>> heldStreams(Upstream upstream);
 
     /**
-     * Reads what an engine is.
+     * Reads the actual state of an engine.
      *
      * @param upstream the engine
-     * @return its state in the form of an order
+     * @return its state, in the form of a desired state
      */
     Mono<DesiredUpstreamState> state(Upstream upstream);
 
     /**
-     * Orders an engine to become something.
+     * Orders an engine to change to a desired state.
      *
      * @param upstream the engine
-     * @param order what to become
-     * @return whether the engine took the order
+     * @param order the desired state
+     * @return whether the engine accepted the order
      */
     Mono<Boolean> order(Upstream upstream, DesiredUpstreamState order);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamReconciler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/UpstreamReconciler.java
@@ -11,8 +11,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Looks after the engines of an owned group apart from requests: releases memory that nobody needs any more, and
- * keeps engines to what the configuration wants.
+ * Reconciles the engines of an owned group with the configuration: releases orphaned memory and sends orders to engines
+ * that are not in their desired state.
  */
 public final class UpstreamReconciler {
 
@@ -24,7 +24,7 @@
      * Creates a reconciler.
      *
      * @param gateway the upstreams
-     * @param members what is known of the routers
+     * @param members the membership table
      * @param metrics counters
      */
     public UpstreamReconciler(UpstreamGateway gateway, MembershipTable members, OwnerMetrics metrics) {
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Looks once after all engines of a group. Engines that do not answer are left for the next time.
+     * Reconciles all engines of a group once. Engines that do not answer are skipped until the next call.
      *
      * @param configuration the configuration in force
      * @param group the group
-     * @return ends when all were looked after
+     * @return completes when all engines were handled
      */
     public Mono<Void> reconcile(FleetConfiguration configuration, Group group) {
         return Flux.fromIterable(DesiredUpstreamStates.of(configuration, group))
@@ -50,7 +50,7 @@
                 .then();
     }
 
-    /** Releases what one engine holds for nobody. */
+    /** Releases the orphaned memory of one engine. */
     private Mono<Void> releaseOrphaned(Upstream upstream) {
         return gateway.heldStreams(upstream)
                 .flatMapIterable(held -> held)
@@ -66,7 +66,7 @@
                 .then();
     }
 
-    /** Orders one engine if it is not what the configuration wants. */
+    /** Sends an order to an engine that is not in its desired state. */
     private Mono<Void> reconcileState(Upstream upstream, DesiredUpstreamState desired) {
         return gateway.state(upstream)
                 .filter(state -> !desired.isSatisfiedBy(state))
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The router that owns an engine group: it queues, runs and watches the work of the group.
- */
+/** The owner of an engine group: the router that queues, runs and supervises the attempts of the group. */
 package org.apricotstack.core.owner;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/owner/ReleaseRuleTest.java
@@ -11,10 +11,9 @@
 class ReleaseRuleTest {
 
     /**
-     * Symptom: during a split one side cuts streams that the other side serves, or memory of a dead router stays
-     * held.
-     *
-     * <p>Cause to be excluded: releasing what is merely unknown here, or keeping what nobody can pass on any more.
+     * Guards against two faults: during a network partition, one side releases streams that the other side still serves
+     * because it does not know them; or the memory of a dead router, whose answers nobody can forward, is never
+     * released.
      */
     @ParameterizedTest
     @CsvSource({
