--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
@@ -35,7 +35,7 @@
     private final TicketLedger ledger;
     private final TicketedRuns ticketed;
     private final TicketForwarder forwarder;
-    private final EntryMetrics events;
+    private final EntryMetrics metrics;
     private final EntryIdentity identity;
     private final AtomicLong active = new AtomicLong();
 
@@ -47,7 +47,7 @@
      * @param coordinator runs admitted requests
      * @param ledger tickets of this process
      * @param forwarder gives requests to the issuers of their tickets
-     * @param events counters
+     * @param metrics counters
      * @param identity process, clock and source of request names
      */
     public EntryService(
@@ -56,7 +56,7 @@
             RequestCoordinator coordinator,
             TicketLedger ledger,
             TicketForwarder forwarder,
-            EntryMetrics events,
+            EntryMetrics metrics,
             EntryIdentity identity) {
         this.gate = gate;
         this.limiter = limiter;
@@ -64,7 +64,7 @@
         this.ledger = ledger;
         this.ticketed = new TicketedRuns(ledger);
         this.forwarder = forwarder;
-        this.events = events;
+        this.metrics = metrics;
         this.identity = identity;
     }
 
@@ -86,11 +86,11 @@
      */
     public Ticket issueTicket(String keyDigest) {
         FleetConfiguration configuration = requireOpen();
-        EntryRequest asking = new EntryRequest(keyDigest, null, null, 0, 0, null, null, null, null, null);
+        EntryRequest accountRequest = new EntryRequest(keyDigest, null, null, 0, 0, null, null, null, null, null);
         try {
-            new RequestChecks(configuration, asking).account();
+            new RequestChecks(configuration, accountRequest).account();
         } catch (RefusedException e) {
-            events.requestRefused(e.refusal());
+            metrics.requestRefused(e.refusal());
             throw e;
         }
         return ledger.issue(configuration.limits().ticketValidMillis());
@@ -138,7 +138,7 @@
                 limiter.end(account.id(), 0);
             });
         } catch (RefusedException e) {
-            events.requestRefused(e.refusal());
+            metrics.requestRefused(e.refusal());
             return Flux.error(e);
         }
     }
@@ -163,7 +163,7 @@
         if (ticket.issuer().equals(identity.process())) {
             return ticketed.run(ticket, contentDigest(admitted.work()), coordinator.run(admitted));
         }
-        Refusal lost = Refusal.unknown(RefusalReason.TICKET_HOME_LOST);
+        Refusal issuerLost = Refusal.unknown(RefusalReason.TICKET_HOME_LOST);
         Flux<AttemptSignal> forwarded = forwarder
                 .forward(
                         admitted.id(),
@@ -172,12 +172,13 @@
                         admitted.deadline().withMargin(identity.clock()))
                 .concatMap(new ForwardedAnswer(admitted.id())::check)
                 .takeUntil(signal -> signal instanceof AttemptSignal.Completed)
-                .concatWith(Flux.error(lost::toException));
+                .concatWith(Flux.error(issuerLost::toException));
         return coordinator
                 .limits()
-                .endBy(forwarded, admitted.deadline(), () -> lost)
-                .onErrorMap(error -> RefusedException.refusalOf(error, lost).toException())
-                .doOnError(error -> events.requestRefused(((RefusedException) error).refusal()));
+                .endBy(forwarded, admitted.deadline(), () -> issuerLost)
+                .onErrorMap(
+                        error -> RefusedException.refusalOf(error, issuerLost).toException())
+                .doOnError(error -> metrics.requestRefused(((RefusedException) error).refusal()));
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/GroupFinder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/GroupFinder.java
@@ -91,9 +91,9 @@
         if (group.kind() == ServiceKind.PLAIN) {
             return true;
         }
-        long needed = request.work().promptTokens() + request.work().outputTokens();
-        double usable = 1 - configuration.preset().shortShare();
-        return needed <= configuration.memoryTokens(group.id()) * usable;
+        long neededTokens = request.work().promptTokens() + request.work().outputTokens();
+        double usableShare = 1 - configuration.preset().shortShare();
+        return neededTokens <= configuration.memoryTokens(group.id()) * usableShare;
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
@@ -37,8 +37,8 @@
 
     /** Returns the service, or throws the refusal. */
     Service service(ClientAccount account) {
-        boolean named = Names.isValid(request.service());
-        Service service = named ? configuration.service(new ServiceId(request.service())) : null;
+        boolean validName = Names.isValid(request.service());
+        Service service = validName ? configuration.service(new ServiceId(request.service())) : null;
         boolean allowed = service != null
                 && service.kind() == request.kind()
                 && account.services().contains(service.id());
@@ -64,24 +64,24 @@
 
     /** Reads the time limit that the caller stated. */
     private long parseTimeLimit(Service service) {
-        long most = service.maxTimeLimitMillis();
+        long maxMillis = service.maxTimeLimitMillis();
         try {
             long millis = Long.parseLong(request.timeLimitText().trim());
-            if (millis >= 1 && millis <= most) {
+            if (millis >= 1 && millis <= maxMillis) {
                 return millis;
             }
         } catch (NumberFormatException e) {
             // Falls through to the same refusal as a number out of range.
         }
-        throw Refusal.notRun(RefusalReason.INVALID_TIME_LIMIT, "Allowed: 1 to " + most + " milliseconds.")
+        throw Refusal.notRun(RefusalReason.INVALID_TIME_LIMIT, "Allowed: 1 to " + maxMillis + " milliseconds.")
                 .toException();
     }
 
     /** Returns what is to be run, or throws the refusal. */
     Work work(ClientAccountId account, Service service) {
-        long mostAnswer = configuration.limits().maxAnswerTokens();
-        if (request.outputTokens() > mostAnswer) {
-            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "max_tokens may be at most " + mostAnswer + ".")
+        long maxAnswerTokens = configuration.limits().maxAnswerTokens();
+        if (request.outputTokens() > maxAnswerTokens) {
+            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "max_tokens may be at most " + maxAnswerTokens + ".")
                     .toException();
         }
         return new Work(
@@ -100,9 +100,9 @@
     AdmittedRequest admitted(RequestId id, Work work, Service service, Deadline deadline) {
         AdmittedRequest admitted = new AdmittedRequest(
                 id, work, service, configuration.limits().lengthClass(work.promptTokens()), deadline, configuration);
-        boolean holdable = configuration.groups(service).stream()
+        boolean fits = configuration.groups(service).stream()
                 .anyMatch(group -> GroupFinder.canHold(configuration, group, admitted));
-        if (!holdable && !configuration.groups(service).isEmpty()) {
+        if (!fits && !configuration.groups(service).isEmpty()) {
             throw Refusal.notRun(RefusalReason.PROMPT_TOO_LONG, 0).toException();
         }
         return admitted;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
@@ -14,7 +14,7 @@
     private final AttemptDispatcher dispatcher;
     private final GroupLoadTable loads;
     private final RetryBudget budget;
-    private final EntryMetrics events;
+    private final EntryMetrics metrics;
     private final MonotonicClock clock;
     private final Scheduler timer;
     private final TimeLimits limits;
@@ -26,7 +26,7 @@
      * @param dispatcher gives attempts to owners
      * @param loads takes the loads that replies carry
      * @param budget bounds retries
-     * @param events counters
+     * @param metrics counters
      * @param clock the local clock
      * @param timer runs time limits
      */
@@ -35,14 +35,14 @@
             AttemptDispatcher dispatcher,
             GroupLoadTable loads,
             RetryBudget budget,
-            EntryMetrics events,
+            EntryMetrics metrics,
             MonotonicClock clock,
             Scheduler timer) {
         this.finder = finder;
         this.dispatcher = dispatcher;
         this.loads = loads;
         this.budget = budget;
-        this.events = events;
+        this.metrics = metrics;
         this.clock = clock;
         this.timer = timer;
         this.limits = new TimeLimits(clock, timer);
@@ -86,8 +86,8 @@
     }
 
     /** Returns the counters. */
-    EntryMetrics events() {
-        return events;
+    EntryMetrics metrics() {
+        return metrics;
     }
 
     /** Returns the local clock. */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
@@ -37,103 +37,107 @@
 final class RequestRun {
 
     /** Pause before an attempt in the same place, in milliseconds. */
-    private static final long RETRY_PAUSE_MILLIS = 20;
+    private static final long RETRY_BACK_OFF_MILLIS = 20;
 
     /** When to come back if nobody could take the request, in milliseconds. */
     private static final long UNAVAILABLE_RETRY_MILLIS = 1_000;
 
-    private final RequestCoordinator parts;
+    private final RequestCoordinator coordinator;
     private final AdmittedRequest request;
     private final MonotonicClock clock;
     private final long startedNanos;
     private final Set<UpstreamId> excluded = new HashSet<>();
     private final Set<GroupId> avoidedGroups = new HashSet<>();
     private final Set<HostId> avoidedHosts = new HashSet<>();
-    private final Set<HostId> lostOnce = new HashSet<>();
+    private final Set<HostId> hostsLostOnce = new HashSet<>();
     private int attempts;
     private long offset;
-    private boolean headPassed;
+    private boolean headForwarded;
     private volatile boolean mayHaveRun;
     private boolean earlierAttemptMayHaveRun;
     private Refusal lastRefusal;
 
     /** Creates the run of a request. */
-    RequestRun(RequestCoordinator parts, AdmittedRequest request) {
-        this.parts = parts;
+    RequestRun(RequestCoordinator coordinator, AdmittedRequest request) {
+        this.coordinator = coordinator;
         this.request = request;
-        this.clock = parts.clock();
+        this.clock = coordinator.clock();
         this.startedNanos = clock.nanos();
     }
 
     /** Returns the signals for the caller. */
     Flux<AttemptSignal> signals() {
-        parts.budget().earn(request.configuration().limits().retryShare());
-        return parts.limits()
-                .endBy(attempt(), request.deadline(), this::timeIsOver)
+        coordinator.budget().earn(request.configuration().limits().retryShare());
+        return coordinator
+                .limits()
+                .endBy(attempt(), request.deadline(), this::timeLimitRefusal)
                 .doOnNext(this::countCompleted)
-                .doOnError(error -> parts.events()
+                .doOnError(error -> coordinator
+                        .metrics()
                         .requestRefused(
                                 RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.INTERNAL_ERROR))));
     }
 
     /** Returns the refusal at the time limit, with what is then known of the outcome. */
-    private Refusal timeIsOver() {
+    private Refusal timeLimitRefusal() {
         return new Refusal(RefusalReason.TIME_LIMIT, mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN, 0, "");
     }
 
     /** Counts the end of a whole answer. */
     private void countCompleted(AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Completed) {
-            parts.events().requestCompleted();
+            coordinator.metrics().requestCompleted();
         }
     }
 
     /** Makes one attempt, and others after it where that is safe. */
     private Flux<AttemptSignal> attempt() {
-        GroupFinder.Target found = parts.finder().choose(request, avoidedGroups, avoidedHosts);
-        if (found == null) {
-            return Flux.error(nowhere().toException());
+        GroupFinder.Target target = coordinator.finder().choose(request, avoidedGroups, avoidedHosts);
+        if (target == null) {
+            return Flux.error(noGroupRefusal().toException());
         }
-        parts.events().groupChosen(found.reason());
+        coordinator.metrics().groupChosen(target.reason());
         attempts++;
         AttemptId id = new AttemptId(request.id(), attempts);
         StreamGuard guard = new StreamGuard(id, offset);
         mayHaveRun = true;
-        return events(found, id)
+        return attemptEvents(target, id)
                 .concatMap(event -> check(guard, event))
                 .concatWith(Mono.error(
                         () -> Refusal.unknown(RefusalReason.ANSWER_CUT).toException()))
                 .takeUntil(signal -> signal instanceof AttemptSignal.Completed)
-                .onErrorResume(error -> afterFailure(found, error));
+                .onErrorResume(error -> afterFailure(target, error));
     }
 
     /** Gives the attempt to its owner and watches for silence. */
-    private Flux<AttemptEvent> events(GroupFinder.Target found, AttemptId id) {
-        Duration silence = Duration.ofMillis(request.configuration().limits().silenceMillis());
+    private Flux<AttemptEvent> attemptEvents(GroupFinder.Target target, AttemptId id) {
+        Duration silenceTimeout =
+                Duration.ofMillis(request.configuration().limits().silenceMillis());
         DispatchCommand command = new DispatchCommand(
                 id,
-                found.group().id(),
+                target.group().id(),
                 request.work(),
                 request.deadline().withMargin(clock),
                 offset,
                 Set.copyOf(excluded));
-        Flux<AttemptEvent> events = parts.dispatcher().dispatch(found.owner(), command);
-        return events.timeout(silence, silent(found.owner(), clock.nanos()), parts.timer())
-                .doOnNext(event -> takeLoad(event));
+        Flux<AttemptEvent> attemptEvents = coordinator.dispatcher().dispatch(target.owner(), command);
+        return attemptEvents
+                .timeout(silenceTimeout, onSilence(target.owner(), clock.nanos()), coordinator.timer())
+                .doOnNext(event -> recordLoad(event));
     }
 
     /** What follows when nothing was heard from the owner: its connection is not to be used again. */
-    private Flux<AttemptEvent> silent(HostId owner, long sentNanos) {
+    private Flux<AttemptEvent> onSilence(HostId owner, long sentNanos) {
         return Flux.defer(() -> {
-            parts.dispatcher().replaceConnection(owner, sentNanos);
+            coordinator.dispatcher().replaceConnection(owner, sentNanos);
             return Flux.error(Refusal.unknown(RefusalReason.OWNER_LOST).toException());
         });
     }
 
     /** Takes the load that an event carries. */
-    private void takeLoad(AttemptEvent event) {
+    private void recordLoad(AttemptEvent event) {
         if (event.load() != null) {
-            parts.loads().record(event.load());
+            coordinator.loads().record(event.load());
         }
     }
 
@@ -141,10 +145,10 @@
     private Flux<AttemptSignal> check(StreamGuard guard, AttemptEvent event) {
         StreamVerdict verdict = guard.check(event);
         if (verdict != StreamVerdict.PASS) {
-            parts.events().eventDropped(verdict);
+            coordinator.metrics().eventDropped(verdict);
         }
         return switch (verdict) {
-            case PASS -> pass(guard, event.signal());
+            case PASS -> forward(guard, event.signal());
             case REPEATED, LATE -> Flux.empty();
             case CROSSED -> Flux.error(
                     Refusal.unknown(RefusalReason.ANSWER_CROSSED).toException());
@@ -153,7 +157,7 @@
     }
 
     /** Passes a signal on, or fails with the refusal that it carries. */
-    private Flux<AttemptSignal> pass(StreamGuard guard, AttemptSignal signal) {
+    private Flux<AttemptSignal> forward(StreamGuard guard, AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Refused refused) {
             if (refused.upstream() != null) {
                 excluded.add(refused.upstream());
@@ -163,17 +167,17 @@
         if (signal instanceof AttemptSignal.Chunk) {
             if (offset == 0) {
                 long millis = (clock.nanos() - startedNanos) / Deadline.NANOS_PER_MILLI;
-                parts.events().firstToken(request.lengthClass(), millis);
+                coordinator.metrics().firstToken(request.lengthClass(), millis);
             }
             offset = guard.offset();
         }
-        headPassed |= signal instanceof AttemptSignal.Head;
+        headForwarded |= signal instanceof AttemptSignal.Head;
         boolean internal = signal instanceof AttemptSignal.Queued || signal instanceof AttemptSignal.Started;
         return internal ? Flux.empty() : Flux.just(signal);
     }
 
     /** Decides what follows a failed attempt. */
-    private Flux<AttemptSignal> afterFailure(GroupFinder.Target found, Throwable error) {
+    private Flux<AttemptSignal> afterFailure(GroupFinder.Target target, Throwable error) {
         Refusal refusal = RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.OWNER_LOST));
         boolean notRun = refusal.outcome() == Outcome.NOT_RUN;
         lastRefusal = refusal;
@@ -181,28 +185,31 @@
         earlierAttemptMayHaveRun = mayHaveRun;
         RetryReason reason = RetryPolicy.reasonToRetry(refusal, request.work().repeatable(), isContinuable());
         if (reason == null || attempts >= request.configuration().limits().maxAttempts()) {
-            return Flux.error(told(refusal).toException());
+            return Flux.error(withTotalOutcome(refusal).toException());
         }
-        if (!parts.budget().trySpend()) {
-            parts.events().retryBudgetExhausted();
-            return Flux.error(told(refusal).toException());
+        if (!coordinator.budget().trySpend()) {
+            coordinator.metrics().retryBudgetExhausted();
+            return Flux.error(withTotalOutcome(refusal).toException());
         }
-        avoid(found, reason);
-        parts.events().attemptRetried(reason);
-        return Mono.delay(Duration.ofMillis(RETRY_PAUSE_MILLIS), parts.timer()).thenMany(Flux.defer(this::attempt));
+        avoid(target, reason);
+        coordinator.metrics().attemptRetried(reason);
+        return Mono.delay(Duration.ofMillis(RETRY_BACK_OFF_MILLIS), coordinator.timer())
+                .thenMany(Flux.defer(this::attempt));
     }
 
     /** Remembers what has just failed, so that the next attempt goes elsewhere if there is an elsewhere. */
-    private void avoid(GroupFinder.Target found, RetryReason reason) {
+    private void avoid(GroupFinder.Target target, RetryReason reason) {
         switch (reason) {
-            case OWNER_DID_NOT_TAKE -> avoidedHosts.add(found.owner());
-            case OWNER_LOST -> avoidOnSecondLoss(found.owner());
-            case OTHER_GROUP -> avoidedGroups.add(found.group().id());
+            case OWNER_DID_NOT_TAKE -> avoidedHosts.add(target.owner());
+            case OWNER_LOST -> avoidOnSecondLoss(target.owner());
+            case OTHER_GROUP -> avoidedGroups.add(target.group().id());
             default -> {
-                boolean groupIsSpent = excluded.size()
-                        >= request.configuration().upstreams(found.group().id()).size();
-                if (groupIsSpent || lastRefusal.reason() == RefusalReason.NO_GROUP) {
-                    avoidedGroups.add(found.group().id());
+                boolean allUpstreamsExcluded = excluded.size()
+                        >= request.configuration()
+                                .upstreams(target.group().id())
+                                .size();
+                if (allUpstreamsExcluded || lastRefusal.reason() == RefusalReason.NO_GROUP) {
+                    avoidedGroups.add(target.group().id());
                 }
             }
         }
@@ -213,14 +220,14 @@
      * new one to the same owner, which has the queue and the memory of the group.
      */
     private void avoidOnSecondLoss(HostId owner) {
-        if (!lostOnce.add(owner)) {
+        if (!hostsLostOnce.add(owner)) {
             avoidedHosts.add(owner);
         }
     }
 
     /** Tells whether another attempt can give the rest of the answer. */
     private boolean isContinuable() {
-        if (offset == 0 && !headPassed) {
+        if (offset == 0 && !headForwarded) {
             return true;
         }
         if (request.service().kind() == ServiceKind.PLAIN) {
@@ -232,19 +239,19 @@
     }
 
     /** Returns the refusal as the caller is told, with the outcome of all attempts together. */
-    private Refusal told(Refusal refusal) {
+    private Refusal withTotalOutcome(Refusal refusal) {
         return refusal.withOutcome(mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN);
     }
 
     /** Returns the refusal for a request that no group can take now. */
-    private Refusal nowhere() {
+    private Refusal noGroupRefusal() {
         if (lastRefusal != null) {
-            return told(lastRefusal);
+            return withTotalOutcome(lastRefusal);
         }
-        boolean holdable = request.configuration().groups(request.service()).stream()
+        boolean fits = request.configuration().groups(request.service()).stream()
                 .anyMatch(group -> GroupFinder.canHold(request.configuration(), group, request));
         boolean exists = !request.configuration().groups(request.service()).isEmpty();
-        if (exists && !holdable) {
+        if (exists && !fits) {
             return Refusal.notRun(RefusalReason.PROMPT_TOO_LONG, 0);
         }
         return Refusal.notRun(RefusalReason.NO_GROUP, UNAVAILABLE_RETRY_MILLIS);
