--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/AdmittedRequest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/AdmittedRequest.java
@@ -10,12 +10,12 @@
 /**
  * A request that passed the checks of its entry router.
  *
- * @param id its name
+ * @param id its id
  * @param work what to run
- * @param service the service that it asks for
+ * @param service the requested service
  * @param lengthClass the class of its prompt
- * @param deadline when it must have ended
- * @param configuration the version under which it was admitted, which it keeps to its end
+ * @param deadline the time by which it must have ended
+ * @param configuration the configuration under which it was admitted, used until the request ends
  */
 public record AdmittedRequest(
         RequestId id,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryGate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryGate.java
@@ -3,20 +3,20 @@
 import org.apricotstack.core.configuration.FleetConfiguration;
 import org.apricotstack.core.failure.RefusalReason;
 
-/** Port: whether this router takes new requests, and under which configuration. */
+/** Port: whether this router accepts new requests, and under which configuration. */
 public interface EntryGate {
 
     /**
      * Returns why new requests are refused.
      *
-     * @return the reason, or {@code null} if requests are taken
+     * @return the reason, or {@code null} if requests are accepted
      */
     RefusalReason closedReason();
 
     /**
      * Returns the configuration in force.
      *
-     * @return the configuration; not {@code null} while requests are taken
+     * @return the configuration; not {@code null} while requests are accepted
      */
     FleetConfiguration configuration();
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryMetrics.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryMetrics.java
@@ -10,23 +10,23 @@
 public interface EntryMetrics {
 
     /**
-     * Counts a request that ended without a whole answer.
+     * Counts a request that ended without a complete answer.
      *
      * @param refusal why
      */
     void requestRefused(Refusal refusal);
 
-    /** Counts a request that ended with a whole answer. */
+    /** Counts a request that ended with a complete answer. */
     void requestCompleted();
 
     /**
-     * Counts another attempt.
+     * Counts a retry.
      *
      * @param reason why
      */
     void attemptRetried(RetryReason reason);
 
-    /** Counts a retry that the budget forbade. */
+    /** Counts a retry that the retry budget did not allow. */
     void retryBudgetExhausted();
 
     /**
@@ -37,14 +37,14 @@
     void groupChosen(GroupChoice.Reason reason);
 
     /**
-     * Counts an event that was not passed on.
+     * Counts an event that was not forwarded.
      *
      * @param verdict why
      */
     void eventDropped(StreamVerdict verdict);
 
     /**
-     * Notes a time to first token.
+     * Records a time to first token.
      *
      * @param lengthClass the class of the prompt
      * @param millis the time in milliseconds
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
@@ -23,10 +23,10 @@
 import org.apricotstack.core.time.MonotonicClock;
 import reactor.core.publisher.Flux;
 
-/** Takes requests of callers: checks, limits, tickets, and then the run. */
+/** Accepts requests of callers: checks them, applies account limits and tickets, and runs them. */
 public final class EntryService {
 
-    /** When to come back if this router cannot take requests, in milliseconds. */
+    /** Suggested retry delay while this router does not accept requests, in milliseconds. */
     private static final long CLOSED_RETRY_MILLIS = 500;
 
     private final EntryGate gate;
@@ -42,13 +42,13 @@
     /**
      * Creates a service.
      *
-     * @param gate whether requests are taken
+     * @param gate whether requests are accepted
      * @param limiter limits of client accounts
      * @param coordinator runs admitted requests
      * @param ledger tickets of this process
-     * @param forwarder gives requests to the issuers of their tickets
+     * @param forwarder forwards requests to the issuers of their tickets
      * @param metrics counters
-     * @param identity process, clock and source of request names
+     * @param identity process, clock and generator of request ids
      */
     public EntryService(
             EntryGate gate,
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Who this router is.
+     * Identity of this router.
      *
      * @param process this process
      * @param clock the local clock
-     * @param requestIds makes names of requests, unique over all routers
+     * @param requestIds generates request ids that are unique over all routers
      */
     public record EntryIdentity(ProcessId process, MonotonicClock clock, Supplier<RequestId> requestIds) {}
 
@@ -82,7 +82,7 @@
      *
      * @param keyDigest SHA-256 of the caller's key, or {@code null}
      * @return the ticket
-     * @throws RefusedException if the caller has no client account or this router takes no requests
+     * @throws RefusedException if the caller has no client account or this router accepts no requests
      */
     public Ticket issueTicket(String keyDigest) {
         FleetConfiguration configuration = requireOpen();
@@ -97,11 +97,10 @@
     }
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
      * @param request the request
-     * @return its name and its answer; the answer ends with an error of type {@link RefusedException} if there is
-     *     none
+     * @return its id and its answer, which fails with a {@link RefusedException} if the request is refused
      */
     public Submission submit(EntryRequest request) {
         RequestId id = identity.requestIds().get();
@@ -109,14 +108,14 @@
     }
 
     /**
-     * A request that was taken.
+     * A submitted request.
      *
-     * @param id its name
+     * @param id its id
      * @param answer its answer; subscribing starts it, cancelling cancels it
      */
     public record Submission(RequestId id, Flux<AttemptSignal> answer) {}
 
-    /** Checks a request and runs it; refusals of the checks are counted here, those of the run where they arise. */
+    /** Checks a request and runs it. Refusals by the checks are counted here, refusals by the run where they occur. */
     private Flux<AttemptSignal> checkAndRun(RequestId id, EntryRequest request) {
         try {
             FleetConfiguration configuration = requireOpen();
@@ -143,7 +142,7 @@
         }
     }
 
-    /** Returns the ticket that a request brings, or {@code null}. */
+    /** Returns the ticket of a request, or {@code null}. */
     private static Ticket ticket(EntryRequest request) {
         if (request.ticketText() == null) {
             return null;
@@ -187,8 +186,8 @@
      * @param id the request
      * @param ticketText its ticket
      * @param work what to run
-     * @param deadline when it must have ended, in the local clock
-     * @return its events, ending with the last
+     * @param deadline the time by which it must have ended, on the local clock
+     * @return its events up to the last
      */
     public Flux<AttemptSignal> runForwarded(RequestId id, String ticketText, Work work, Deadline deadline) {
         return Flux.defer(() -> {
@@ -210,7 +209,7 @@
         });
     }
 
-    /** Computes what makes two requests the same: account, service, call and body. */
+    /** Computes the digest that identifies equal requests, from account, service, call and body. */
     private static String contentDigest(Work work) {
         Hasher hasher = Hashing.sha256()
                 .newHasher()
@@ -221,7 +220,7 @@
         return hasher.putBytes(work.body()).hash().toString();
     }
 
-    /** Returns the configuration, or throws the refusal if this router takes no requests. */
+    /** Returns the configuration, or throws the refusal if this router accepts no requests. */
     private FleetConfiguration requireOpen() {
         RefusalReason closed = gate.closedReason();
         if (closed != null) {
@@ -231,7 +230,7 @@
     }
 
     /**
-     * Returns how many requests are in progress.
+     * Returns the number of requests in progress.
      *
      * @return the number
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/ForwardedAnswer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/ForwardedAnswer.java
@@ -10,27 +10,27 @@
 import org.apricotstack.core.stream.StreamVerdict;
 import reactor.core.publisher.Flux;
 
-/** Checks the answer that the issuer of a ticket sends back, as any other answer from another process. */
+/** Checks the answer from the issuer of a ticket in the same way as the answers of owners. */
 public final class ForwardedAnswer {
 
     private final StreamGuard guard;
 
-    /** Creates the check of one request's answer. */
+    /** Creates the check for the answer to one request. */
     ForwardedAnswer(RequestId request) {
         this.guard = new StreamGuard(attempt(request), 0);
     }
 
     /**
-     * Names the attempt under which the answer to a forwarded request travels.
+     * Returns the attempt id that the events of a forwarded request carry.
      *
      * @param request the request
-     * @return attempt 0, which no owner is ever given
+     * @return attempt 0, which is never dispatched to an owner
      */
     public static AttemptId attempt(RequestId request) {
         return new AttemptId(request, 0);
     }
 
-    /** Turns an event into a signal for the caller, or into the refusal that it carries or that it deserves. */
+    /** Converts an event to a signal for the caller, or to an error with the refusal that it carries or causes. */
     Flux<AttemptSignal> check(AttemptEvent event) {
         StreamVerdict verdict = guard.check(event);
         if (verdict == StreamVerdict.REPEATED || verdict == StreamVerdict.LATE) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/GroupFinder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/GroupFinder.java
@@ -18,7 +18,7 @@
 import org.apricotstack.core.routing.GroupSampler;
 import org.apricotstack.core.routing.RoutingRequest;
 
-/** Finds the group and the owner for an attempt. */
+/** Chooses the group and the owner for an attempt. */
 public final class GroupFinder {
 
     private final DataCentreId local;
@@ -32,11 +32,11 @@
      * Creates a finder.
      *
      * @param local data centre of this router
-     * @param views the picture of the routers
-     * @param ownership tells owners
+     * @param views the current membership view
+     * @param ownership determines the owners of groups
      * @param loads loads of the groups
-     * @param chooser chooses among groups
-     * @param random source of random numbers for the groups to compare
+     * @param chooser chooses among the sampled groups
+     * @param random source of random numbers for sampling groups
      */
     public GroupFinder(
             DataCentreId local,
@@ -54,12 +54,12 @@
     }
 
     /**
-     * Finds a group and its owner.
+     * Chooses a group and its owner.
      *
      * @param request the request
      * @param avoidedGroups groups that have just failed the request
      * @param avoidedHosts routers that have just failed the request
-     * @return where to send the attempt, or {@code null} if there is no such place
+     * @return where to send the attempt, or {@code null} if no group or no router is available
      */
     public Target choose(AdmittedRequest request, Set<GroupId> avoidedGroups, Set<HostId> avoidedHosts) {
         FleetConfiguration configuration = request.configuration();
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Tells whether a group could hold a request if it had no other work.
+     * Tells whether the memory of a group is large enough for a request if the group has no other work.
      *
      * @param configuration the configuration
      * @param group the group
      * @param request the request
-     * @return whether its engines together have the memory
+     * @return whether the engines of the group together have enough memory
      */
     public static boolean canHold(FleetConfiguration configuration, Group group, AdmittedRequest request) {
         if (group.kind() == ServiceKind.PLAIN) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
@@ -13,7 +13,7 @@
 import org.apricotstack.core.time.Deadline;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Checks a request against the configuration, apart from limits. Each failed check ends in a typed refusal. */
+/** Checks a request against the configuration, except for account limits. Each failed check throws a typed refusal. */
 final class RequestChecks {
 
     private final FleetConfiguration configuration;
@@ -62,7 +62,7 @@
         return Deadline.in(clock, millis);
     }
 
-    /** Reads the time limit that the caller stated. */
+    /** Parses the time limit that the caller sent. */
     private long parseTimeLimit(Service service) {
         long maxMillis = service.maxTimeLimitMillis();
         try {
@@ -71,13 +71,13 @@
                 return millis;
             }
         } catch (NumberFormatException e) {
-            // Falls through to the same refusal as a number out of range.
+            // A malformed number gets the same refusal as a number out of range.
         }
         throw Refusal.notRun(RefusalReason.INVALID_TIME_LIMIT, "Allowed: 1 to " + maxMillis + " milliseconds.")
                 .toException();
     }
 
-    /** Returns what is to be run, or throws the refusal. */
+    /** Returns the work to run, or throws the refusal. */
     Work work(ClientAccountId account, Service service) {
         long maxAnswerTokens = configuration.limits().maxAnswerTokens();
         if (request.outputTokens() > maxAnswerTokens) {
@@ -96,7 +96,7 @@
                 configuration.version());
     }
 
-    /** Returns the admitted request, or throws the refusal if no group could ever hold it. */
+    /** Returns the admitted request, or throws the refusal if no group has enough memory for it. */
     AdmittedRequest admitted(RequestId id, Work work, Service service, Deadline deadline) {
         AdmittedRequest admitted = new AdmittedRequest(
                 id, work, service, configuration.limits().lengthClass(work.promptTokens()), deadline, configuration);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
@@ -7,7 +7,10 @@
 import reactor.core.publisher.Flux;
 import reactor.core.scheduler.Scheduler;
 
-/** Runs admitted requests: chooses groups, follows attempts, repeats them where that is safe, and keeps time limits. */
+/**
+ * Runs admitted requests: chooses groups, dispatches attempts, retries them where that is safe, and enforces time
+ * limits.
+ */
 public final class RequestCoordinator {
 
     private final GroupFinder finder;
@@ -22,13 +25,13 @@
     /**
      * Creates a coordinator.
      *
-     * @param finder finds groups and owners
-     * @param dispatcher gives attempts to owners
-     * @param loads takes the loads that replies carry
-     * @param budget bounds retries
+     * @param finder chooses groups and owners
+     * @param dispatcher dispatches attempts to owners
+     * @param loads records the loads that replies carry
+     * @param budget limits retries
      * @param metrics counters
      * @param clock the local clock
-     * @param timer runs time limits
+     * @param timer runs the timers of time limits
      */
     public RequestCoordinator(
             GroupFinder finder,
@@ -52,25 +55,24 @@
      * Runs a request.
      *
      * @param request the request
-     * @return heartbeats, head and pieces of the answer, ending with {@code Completed}; or an error with the
-     *     {@link org.apricotstack.core.failure.RefusedException} that the caller is told. Cancelling the subscription
-     *     cancels the work
+     * @return heartbeats, head and chunks of the answer, ending with {@code Completed}; or an error with the {@link
+     *     org.apricotstack.core.failure.RefusedException} for the caller. Cancelling the subscription cancels the work
      */
     public Flux<AttemptSignal> run(AdmittedRequest request) {
         return Flux.defer(() -> new RequestRun(this, request).signals());
     }
 
-    /** Returns what ends answers at their time limit. */
+    /** Returns the time limits. */
     TimeLimits limits() {
         return limits;
     }
 
-    /** Returns what finds groups and owners. */
+    /** Returns the group finder. */
     GroupFinder finder() {
         return finder;
     }
 
-    /** Returns what gives attempts to owners. */
+    /** Returns the dispatcher. */
     AttemptDispatcher dispatcher() {
         return dispatcher;
     }
@@ -80,7 +82,7 @@
         return loads;
     }
 
-    /** Returns the bound on retries. */
+    /** Returns the retry budget. */
     RetryBudget budget() {
         return budget;
     }
@@ -95,7 +97,7 @@
         return clock;
     }
 
-    /** Returns what runs time limits. */
+    /** Returns the timer. */
     Scheduler timer() {
         return timer;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
@@ -28,18 +28,18 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One request on its way through its entry router.
+ * The state of one request at its entry router.
  *
- * <p>The outcome that the caller is told rests on {@link #mayHaveRun}: it becomes true when an attempt is sent, and
- * false again only if the owner itself says that the attempt was not run. Whatever else ends an attempt, a lost
- * connection or a time limit, leaves it true, and the refusal then says {@code unknown}.
+ * <p>{@link #mayHaveRun} determines the outcome in a refusal: it becomes true when an attempt is sent, and false again
+ * only if the owner itself reports that the attempt was not run. Anything else that ends an attempt, such as a lost
+ * connection or a time limit, leaves it true, and the refusal then states {@code unknown}.
  */
 final class RequestRun {
 
-    /** Pause before an attempt in the same place, in milliseconds. */
+    /** Back-off before the next attempt, in milliseconds. */
     private static final long RETRY_BACK_OFF_MILLIS = 20;
 
-    /** When to come back if nobody could take the request, in milliseconds. */
+    /** Suggested retry delay if no group could take the request, in milliseconds. */
     private static final long UNAVAILABLE_RETRY_MILLIS = 1_000;
 
     private final RequestCoordinator coordinator;
@@ -78,19 +78,19 @@
                                 RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.INTERNAL_ERROR))));
     }
 
-    /** Returns the refusal at the time limit, with what is then known of the outcome. */
+    /** Returns the refusal at the time limit, with the outcome known at that time. */
     private Refusal timeLimitRefusal() {
         return new Refusal(RefusalReason.TIME_LIMIT, mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN, 0, "");
     }
 
-    /** Counts the end of a whole answer. */
+    /** Counts a completed answer. */
     private void countCompleted(AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Completed) {
             coordinator.metrics().requestCompleted();
         }
     }
 
-    /** Makes one attempt, and others after it where that is safe. */
+    /** Runs one attempt, and retries it where that is safe. */
     private Flux<AttemptSignal> attempt() {
         GroupFinder.Target target = coordinator.finder().choose(request, avoidedGroups, avoidedHosts);
         if (target == null) {
@@ -109,7 +109,7 @@
                 .onErrorResume(error -> afterFailure(target, error));
     }
 
-    /** Gives the attempt to its owner and watches for silence. */
+    /** Dispatches the attempt to its owner, with a time-out for silence. */
     private Flux<AttemptEvent> attemptEvents(GroupFinder.Target target, AttemptId id) {
         Duration silenceTimeout =
                 Duration.ofMillis(request.configuration().limits().silenceMillis());
@@ -126,7 +126,7 @@
                 .doOnNext(event -> recordLoad(event));
     }
 
-    /** What follows when nothing was heard from the owner: its connection is not to be used again. */
+    /** Handles a silent owner: replaces the connection to it and fails the attempt. */
     private Flux<AttemptEvent> onSilence(HostId owner, long sentNanos) {
         return Flux.defer(() -> {
             coordinator.dispatcher().replaceConnection(owner, sentNanos);
@@ -134,14 +134,14 @@
         });
     }
 
-    /** Takes the load that an event carries. */
+    /** Records the load that an event carries. */
     private void recordLoad(AttemptEvent event) {
         if (event.load() != null) {
             coordinator.loads().record(event.load());
         }
     }
 
-    /** Checks an event and turns it into what the caller gets. */
+    /** Checks an event and converts it to signals for the caller. */
     private Flux<AttemptSignal> check(StreamGuard guard, AttemptEvent event) {
         StreamVerdict verdict = guard.check(event);
         if (verdict != StreamVerdict.PASS) {
@@ -156,7 +156,7 @@
         };
     }
 
-    /** Passes a signal on, or fails with the refusal that it carries. */
+    /** Forwards a signal, or fails with the refusal that it carries. */
     private Flux<AttemptSignal> forward(StreamGuard guard, AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Refused refused) {
             if (refused.upstream() != null) {
@@ -176,7 +176,7 @@
         return internal ? Flux.empty() : Flux.just(signal);
     }
 
-    /** Decides what follows a failed attempt. */
+    /** Decides whether and how a failed attempt is retried. */
     private Flux<AttemptSignal> afterFailure(GroupFinder.Target target, Throwable error) {
         Refusal refusal = RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.OWNER_LOST));
         boolean notRun = refusal.outcome() == Outcome.NOT_RUN;
@@ -197,7 +197,7 @@
                 .thenMany(Flux.defer(this::attempt));
     }
 
-    /** Remembers what has just failed, so that the next attempt goes elsewhere if there is an elsewhere. */
+    /** Excludes the router or group that has just failed from the next attempt. */
     private void avoid(GroupFinder.Target target, RetryReason reason) {
         switch (reason) {
             case OWNER_DID_NOT_TAKE -> avoidedHosts.add(target.owner());
@@ -216,8 +216,8 @@
     }
 
     /**
-     * Avoids an owner that was lost twice. The first loss may be the connection's alone: the next attempt takes a
-     * new one to the same owner, which has the queue and the memory of the group.
+     * Avoids an owner that was lost twice. The first loss may only concern the connection, so the next attempt uses a
+     * new connection to the same owner, which holds the queue and the memory reservations of the group.
      */
     private void avoidOnSecondLoss(HostId owner) {
         if (!hostsLostOnce.add(owner)) {
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Tells whether another attempt can give the rest of the answer. */
+    /** Tells whether another attempt can continue the answer. */
     private boolean isContinuable() {
         if (offset == 0 && !headForwarded) {
             return true;
@@ -238,12 +238,12 @@
         return model != null && model.deterministic();
     }
 
-    /** Returns the refusal as the caller is told, with the outcome of all attempts together. */
+    /** Returns the refusal for the caller, with the outcome over all attempts. */
     private Refusal withTotalOutcome(Refusal refusal) {
         return refusal.withOutcome(mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN);
     }
 
-    /** Returns the refusal for a request that no group can take now. */
+    /** Returns the refusal for a request that no group can take at present. */
     private Refusal noGroupRefusal() {
         if (lastRefusal != null) {
             return withTotalOutcome(lastRefusal);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/TicketForwarder.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/TicketForwarder.java
@@ -7,7 +7,7 @@
 import org.apricotstack.core.time.Deadline;
 import reactor.core.publisher.Flux;
 
-/** Port: gives a request with a ticket to the process that issued the ticket. */
+/** Port: forwards a request with a ticket to the process that issued the ticket. */
 @FunctionalInterface
 public interface TicketForwarder {
 
@@ -17,7 +17,7 @@
      * @param id the request
      * @param ticket its ticket
      * @param work what to run
-     * @param deadline when it must have ended, in the local clock
+     * @param deadline the time by which it must have ended, on the local clock
      * @return its events
      */
     Flux<AttemptEvent> forward(RequestId id, Ticket ticket, Work work, Deadline deadline);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/TicketedRuns.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/TicketedRuns.java
@@ -16,17 +16,17 @@
 import reactor.core.publisher.SignalType;
 
 /**
- * Runs requests under tickets of this process.
+ * Runs requests with tickets of this process.
  *
- * <p>A run goes on when its caller goes away: the caller cannot know what became of it, will ask again with the same
- * ticket, and then gets the answer of the one run.
+ * <p>A run continues when its caller disconnects: the caller does not know the outcome, will send the request again
+ * with the same ticket, and then gets the answer of that run.
  */
 public final class TicketedRuns {
 
     private final TicketLedger ledger;
 
     /**
-     * Creates the runs.
+     * Creates an instance.
      *
      * @param ledger the tickets of this process
      */
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Runs a request, or repeats its recorded answer, or refuses it.
+     * Runs a request, replays its recorded answer, or refuses it.
      *
      * @param ticket the ticket
      * @param contentDigest digest of the request
@@ -56,7 +56,7 @@
         });
     }
 
-    /** One run whose answer is recorded. */
+    /** A run whose answer is recorded. */
     private final class RecordedRun {
         private final long serial;
         private final List<AttemptSignal> signals = new ArrayList<>();
@@ -67,7 +67,7 @@
             this.serial = serial;
         }
 
-        /** Runs detached from the caller, and tells the ledger how it ended. */
+        /** Runs the request detached from the caller, and records the result in the ledger. */
         private Flux<AttemptSignal> record(Flux<AttemptSignal> run) {
             return run.doOnNext(this::add)
                     .doOnError(this::failed)
@@ -90,7 +90,7 @@
             bytes += signal instanceof AttemptSignal.Chunk chunk ? chunk.data().length : 1;
         }
 
-        /** Frees the ticket if the request was provably not run. */
+        /** Releases the ticket if the request was certainly not run. */
         private void failed(Throwable error) {
             Refusal refusal = RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.INTERNAL_ERROR));
             if (refusal.outcome() == Outcome.NOT_RUN) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/TimeLimits.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/TimeLimits.java
@@ -11,25 +11,25 @@
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Scheduler;
 
-/** Ends answers at their time limit. */
+/** Ends answers at their time limits. */
 final class TimeLimits {
 
     private final MonotonicClock clock;
     private final Scheduler timer;
 
-    /** Creates limits over a clock and the timer that belongs to it. */
+    /** Creates time limits with a clock and its timer. */
     TimeLimits(MonotonicClock clock, Scheduler timer) {
         this.clock = clock;
         this.timer = timer;
     }
 
     /**
-     * Ends an answer at its deadline, however many pieces have come until then.
+     * Ends an answer at its deadline, even if parts of it have arrived.
      *
      * @param answer the answer
-     * @param deadline when it must have ended
-     * @param refusal makes the refusal at the deadline, from what is then known of the outcome
-     * @return the answer up to its end mark, or an error with the refusal
+     * @param deadline the time by which it must have ended
+     * @param refusal creates the refusal at the deadline, with the outcome known at that time
+     * @return the answer up to its completion, or an error with the refusal
      */
     Flux<AttemptSignal> endBy(Flux<AttemptSignal> answer, Deadline deadline, Supplier<Refusal> refusal) {
         Mono<AttemptSignal> end = Mono.delay(Duration.ofMillis(deadline.remainingMillis(clock)), timer)
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The path of one request through the router that admitted it.
- */
+/** The entry router of a request: checks, admission, choice of a group, attempts and retries. */
 package org.apricotstack.core.entry;
