--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/FailureDetector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/FailureDetector.java
@@ -19,7 +19,7 @@
 public final class FailureDetector {
 
     /** Routers that are asked to probe on behalf of this one. */
-    private static final int HELPERS = 2;
+    private static final int INDIRECT_PROBES = 2;
 
     private final PeerProbes probes;
     private final ProbeExchange exchange;
@@ -31,7 +31,7 @@
     private final Duration probeTimeout;
     private int round;
     private List<HostId> successors = List.of();
-    private long successorsOfRoster = -1;
+    private long successorsRosterVersion = -1;
 
     /**
      * Creates a detector.
@@ -92,18 +92,18 @@
 
     /** Asks helpers to probe and suspects the target if none of them reaches it. */
     private Mono<Void> probeIndirectly(MemberView view, RosterHost target) {
-        List<RosterHost> helpers = view.usable().stream()
+        List<RosterHost> proxies = view.usable().stream()
                 .filter(host -> !host.id().equals(self) && !host.id().equals(target.id()))
                 .filter(host -> successors.contains(host.id()))
-                .limit(HELPERS)
+                .limit(INDIRECT_PROBES)
                 .toList();
-        return Flux.fromIterable(helpers)
+        return Flux.fromIterable(proxies)
                 .flatMap(via -> probes.probeThrough(via, target.id())
                         .timeout(probeTimeout.multipliedBy(2), scheduler)
                         .onErrorReturn(false))
-                .any(answered -> answered)
-                .doOnNext(answered -> {
-                    if (!answered) {
+                .any(reached -> reached)
+                .doOnNext(reached -> {
+                    if (!reached) {
                         table.suspect(target.id(), clock.millis());
                     }
                 })
@@ -113,9 +113,9 @@
     /** Picks the successor whose turn it is. */
     private RosterHost nextTarget(MemberView view) {
         Roster roster = view.roster();
-        if (successorsOfRoster != roster.version()) {
+        if (successorsRosterVersion != roster.version()) {
             successors = WatchRings.successors(roster.routers().keySet(), self);
-            successorsOfRoster = roster.version();
+            successorsRosterVersion = roster.version();
         }
         if (successors.isEmpty()) {
             return null;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/MembershipTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/MembershipTable.java
@@ -31,7 +31,7 @@
     private MemberRecord own;
     private boolean replaced;
     private long revision;
-    private long sendings;
+    private long sendCount;
 
     /**
      * Creates a table.
@@ -54,7 +54,7 @@
      */
     public synchronized void merge(MemberRecord record, long nowMillis) {
         if (record.host().equals(self.host())) {
-            hearAboutSelf(record, nowMillis);
+            mergeAboutSelf(record, nowMillis);
             return;
         }
         Entry known = entries.get(record.host());
@@ -69,7 +69,7 @@
     }
 
     /** Contradicts what is wrong about this process, or notes that a later process has taken its place. */
-    private void hearAboutSelf(MemberRecord record, long nowMillis) {
+    private void mergeAboutSelf(MemberRecord record, long nowMillis) {
         if (record.incarnation() > self.incarnation()) {
             replaced = true;
             revision++;
@@ -151,34 +151,34 @@
     /**
      * Picks statements to send along with a message: fresh ones first, then exceptions in turn.
      *
-     * @param most how many at most
+     * @param max how many at most
      * @return the statements, each once
      */
-    public synchronized List<MemberRecord> gossip(int most) {
+    public synchronized List<MemberRecord> gossip(int max) {
         List<MemberRecord> picked = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (picked.size() < most && entry.transmissionsLeft > 0) {
+            if (picked.size() < max && entry.transmissionsLeft > 0) {
                 entry.transmissionsLeft--;
                 picked.add(entry.record);
             }
         }
-        addExceptions(picked, most);
+        addExceptions(picked, max);
         return picked;
     }
 
     /** Adds exceptions that were not sent for the longest time. */
-    private void addExceptions(List<MemberRecord> picked, int most) {
+    private void addExceptions(List<MemberRecord> picked, int max) {
         List<Entry> exceptions = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (entry.record.state() != MemberState.ALIVE && !picked.contains(entry.record)) {
                 exceptions.add(entry);
             }
         }
-        exceptions.sort((a, b) -> Long.compare(a.lastSent, b.lastSent));
+        exceptions.sort((a, b) -> Long.compare(a.lastSendCount, b.lastSendCount));
         Iterator<Entry> next = exceptions.iterator();
-        while (picked.size() < most && next.hasNext()) {
+        while (picked.size() < max && next.hasNext()) {
             Entry entry = next.next();
-            entry.lastSent = ++sendings;
+            entry.lastSendCount = ++sendCount;
             picked.add(entry.record);
         }
     }
@@ -240,7 +240,7 @@
         private final MemberRecord record;
         private final long sinceMillis;
         private int transmissionsLeft;
-        private long lastSent;
+        private long lastSendCount;
 
         /** Creates an entry. */
         private Entry(MemberRecord record, long sinceMillis, int transmissions) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/PeerProbes.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/PeerProbes.java
@@ -15,10 +15,10 @@
      * Probes a router.
      *
      * @param target the router
-     * @param news statements and versions to send along
+     * @param payload statements and versions to send along
      * @return its answer; an error if it does not answer in time
      */
-    Mono<ProbeAnswer> probe(RosterHost target, ProbePayload news);
+    Mono<ProbeAnswer> probe(RosterHost target, ProbePayload payload);
 
     /**
      * Asks a router to probe another.
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/ProbeExchange.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/ProbeExchange.java
@@ -23,7 +23,7 @@
     /**
      * Takes the news of a probe that a peer sent.
      *
-     * @param news the news
+     * @param payload the news
      */
-    void receive(ProbePayload news);
+    void receive(ProbePayload payload);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/ServingHosts.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/ServingHosts.java
@@ -66,19 +66,19 @@
      * @param view the picture of the routers
      * @param table tells the latest known process of each host
      * @param turn counts the calls
-     * @param most how many at most
+     * @param max how many at most
      * @return the routers to ask
      */
-    public List<RosterHost> unconfirmed(MemberView view, MembershipTable table, long turn, int most) {
-        List<RosterHost> unheard = new ArrayList<>();
+    public List<RosterHost> unconfirmed(MemberView view, MembershipTable table, long turn, int max) {
+        List<RosterHost> unconfirmed = new ArrayList<>();
         for (RosterHost host : view.usable()) {
             if (!serves(host.id(), table.incarnation(host.id()))) {
-                unheard.add(host);
+                unconfirmed.add(host);
             }
         }
         List<RosterHost> picked = new ArrayList<>();
-        for (int i = 0; i < Math.min(most, unheard.size()); i++) {
-            picked.add(unheard.get((int) Math.floorMod(turn * most + i, (long) unheard.size())));
+        for (int i = 0; i < Math.min(max, unconfirmed.size()); i++) {
+            picked.add(unconfirmed.get((int) Math.floorMod(turn * max + i, (long) unconfirmed.size())));
         }
         return picked;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/WatchRings.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/WatchRings.java
@@ -49,17 +49,17 @@
     }
 
     /** Collects the neighbours over all rings. */
-    private static List<HostId> neighbours(Collection<HostId> roster, HostId self, boolean predecessorsToo) {
+    private static List<HostId> neighbours(Collection<HostId> roster, HostId self, boolean includePredecessors) {
         Set<HostId> result = new LinkedHashSet<>();
         for (int ring = 0; ring < RINGS; ring++) {
             List<HostId> order = ring(roster, ring);
-            int at = order.indexOf(self);
-            if (at < 0) {
+            int index = order.indexOf(self);
+            if (index < 0) {
                 continue;
             }
-            result.add(order.get((at + 1) % order.size()));
-            if (predecessorsToo) {
-                result.add(order.get((at + order.size() - 1) % order.size()));
+            result.add(order.get((index + 1) % order.size()));
+            if (includePredecessors) {
+                result.add(order.get((index + order.size() - 1) % order.size()));
             }
         }
         result.remove(self);
@@ -68,10 +68,10 @@
 
     /** Orders the roster for one ring; the place of each host is computed once. */
     private static List<HostId> ring(Collection<HostId> roster, int ring) {
-        List<Placed> placed = new ArrayList<>(roster.size());
-        roster.forEach(host -> placed.add(new Placed(position(host, ring), host)));
-        placed.sort(Comparator.comparingLong(Placed::position).thenComparing(Placed::host));
-        return placed.stream().map(Placed::host).toList();
+        List<RingMember> members = new ArrayList<>(roster.size());
+        roster.forEach(host -> members.add(new RingMember(position(host, ring), host)));
+        members.sort(Comparator.comparingLong(RingMember::position).thenComparing(RingMember::host));
+        return members.stream().map(RingMember::host).toList();
     }
 
     /** Returns the place of a host on a ring. */
@@ -87,5 +87,5 @@
      * @param position its place
      * @param host the host
      */
-    private record Placed(long position, HostId host) {}
+    private record RingMember(long position, HostId host) {}
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/MembershipTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/MembershipTableTest.java
@@ -30,21 +30,21 @@
         "1, 9, DEAD, 2, 0, ALIVE, false",
         "1, 0, ALIVE, 1, 0, ALIVE, false"
     })
-    void ordersStatements(
+    void ordersRecords(
             long incarnation,
             int refutation,
             MemberState state,
-            long thanIn,
-            int thanRef,
-            MemberState than,
-            boolean is) {
+            long otherIncarnation,
+            int otherRefutation,
+            MemberState otherState,
+            boolean expected) {
         MemberRecord record = new MemberRecord(OTHER, incarnation, refutation, state);
-        assertThat(record.supersedes(new MemberRecord(OTHER, thanIn, thanRef, than)))
-                .isEqualTo(is);
+        assertThat(record.supersedes(new MemberRecord(OTHER, otherIncarnation, otherRefutation, otherState)))
+                .isEqualTo(expected);
     }
 
     @Test
-    void contradictsASuspicionOfItself() {
+    void refutesASuspicionOfItself() {
         table.merge(new MemberRecord(SELF.host(), 5, 0, MemberState.SUSPECT), 0);
         assertThat(table.gossip(8)).contains(new MemberRecord(SELF.host(), 5, 1, MemberState.ALIVE));
     }
@@ -55,14 +55,14 @@
      * <p>Sequence of events: its host was restarted meanwhile; it hears of the later process.
      */
     @Test
-    void knowsThatItWasReplaced() {
+    void detectsThatItWasReplaced() {
         assertThat(table.isReplaced()).isFalse();
         table.merge(new MemberRecord(SELF.host(), 6, 0, MemberState.ALIVE), 0);
         assertThat(table.isReplaced()).isTrue();
     }
 
     @Test
-    void turnsSuspicionIntoDeathAndARestartIntoLife() {
+    void declaresSuspectsDeadAndRestartedHostsAlive() {
         table.recordAlive(new ProcessId(OTHER, 1), 0);
         table.suspect(OTHER, 100);
         assertThat(table.expireSuspicions(1_099)).isEmpty();
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void keepsLeavingAnnouncedThroughARefutation() {
+    void refutationKeepsTheLeavingState() {
         table.announce(MemberState.LEAVING, 0);
         table.merge(new MemberRecord(SELF.host(), 5, 0, MemberState.DEAD), 0);
         assertThat(table.gossip(8)).contains(new MemberRecord(SELF.host(), 5, 1, MemberState.LEAVING));
     }
 
     @Test
-    void boundsWhatAMessageCarriesAndSendsAllExceptionsInTurn() {
+    void limitsRecordsPerMessageAndSendsAllExceptionsInTurn() {
         for (int i = 0; i < 40; i++) {
             table.merge(new MemberRecord(new HostId("h" + i), 1, 0, MemberState.DEAD), 0);
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
@@ -31,7 +31,7 @@
      * <p>Cause: whoever answered probes was taken for a router that serves.
      */
     @Test
-    void countsARouterOnlyWhenItSaidThatItServes() {
+    void countsOnlyRoutersThatReportedThatTheyServe() {
         serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 7)).isFalse();
         serving.recordStatus(new ProcessId(OTHER, 7), true);
@@ -39,20 +39,20 @@
     }
 
     @Test
-    void takesTheWordBackWhenTheHostStartsAgain() {
+    void restartInvalidatesTheReport() {
         serving.recordStatus(new ProcessId(OTHER, 7), true);
         assertThat(serving.serves(OTHER, 8)).isFalse();
     }
 
     @Test
-    void ignoresTheLateWordOfAnEarlierProcess() {
+    void ignoresALateReportOfAnEarlierProcess() {
         serving.recordStatus(new ProcessId(OTHER, 8), true);
         serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 8)).isTrue();
     }
 
     @Test
-    void asksAllUnheardRoutersInTurn() {
+    void probesAllUnconfirmedRoutersInTurn() {
         TreeMap<HostId, RosterHost> routers = new TreeMap<>();
         for (int i = 0; i < 9; i++) {
             HostId host = new HostId("router-" + i);
@@ -60,11 +60,11 @@
         }
         MemberView view = MemberView.of(1, new Roster(1, routers, Set.of()), table);
         serving.recordStatus(new ProcessId(OTHER, 1), true);
-        Set<HostId> asked = new HashSet<>();
+        Set<HostId> probed = new HashSet<>();
         for (int turn = 0; turn < 2; turn++) {
             List<RosterHost> picked = serving.unconfirmed(view, table, turn, 4);
-            picked.forEach(host -> asked.add(host.id()));
+            picked.forEach(host -> probed.add(host.id()));
         }
-        assertThat(asked).hasSize(8).doesNotContain(OTHER);
+        assertThat(probed).hasSize(8).doesNotContain(OTHER);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/WatchRingsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/WatchRingsTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 64, 660})
-    void givesEachHostAConstantNumberOfNeighboursAndAWatcher(int count) {
+    void eachHostHasABoundedNumberOfNeighboursAndAWatcher(int count) {
         List<HostId> hosts = hosts(count);
         Set<HostId> watched = new HashSet<>();
         for (HostId host : hosts) {
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void reachesAllLivingHostsInAFewHopsAfterADataCentreIsLost(long seed) {
+    void reachesAllAliveHostsInAFewHopsAfterTheLossOfADataCentre(long seed) {
         List<HostId> hosts = hosts(660);
         List<HostId> shuffled = new ArrayList<>(hosts);
         Collections.shuffle(shuffled, new Random(seed));
