--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
@@ -19,19 +19,19 @@
 
     private final DataCentreId ownDataCentre;
     private final Predicate<HostId> serves;
-    private final int most;
+    private final int maxRouters;
 
     /**
      * Creates the choice.
      *
      * @param ownDataCentre the data centre of the router that answers
      * @param serves tells whether a router is known to serve
-     * @param most routers named at most
+     * @param maxRouters routers named at most
      */
-    public EntryRouterSelector(DataCentreId ownDataCentre, Predicate<HostId> serves, int most) {
+    public EntryRouterSelector(DataCentreId ownDataCentre, Predicate<HostId> serves, int maxRouters) {
         this.ownDataCentre = ownDataCentre;
         this.serves = serves;
-        this.most = most;
+        this.maxRouters = maxRouters;
     }
 
     /**
@@ -47,16 +47,16 @@
     public List<HostId> select(MemberView view, String callerIp) {
         Set<HostId> ordered = new LinkedHashSet<>(order(view.usable(ownDataCentre), callerIp, view));
         ordered.addAll(order(view.usable(), callerIp, view));
-        List<HostId> serving = ordered.stream().filter(serves).limit(most).toList();
-        return serving.isEmpty() ? new ArrayList<>(ordered).subList(0, Math.min(most, ordered.size())) : serving;
+        List<HostId> serving = ordered.stream().filter(serves).limit(maxRouters).toList();
+        return serving.isEmpty() ? new ArrayList<>(ordered).subList(0, Math.min(maxRouters, ordered.size())) : serving;
     }
 
     /** Orders hosts for a caller; suspects are left out, as the others are many. */
     private static List<HostId> order(List<RosterHost> hosts, String callerIp, MemberView view) {
-        List<HostId> sound = hosts.stream()
+        List<HostId> healthy = hosts.stream()
                 .map(RosterHost::id)
                 .filter(host -> !view.suspects().contains(host))
                 .toList();
-        return Rendezvous.order("caller/" + callerIp, sound);
+        return Rendezvous.order("caller/" + callerIp, healthy);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoadTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoadTable.java
@@ -64,9 +64,9 @@
             return 0;
         }
         long age = clock.millis() - entry.atMillis;
-        double trust = Math.pow(0.5, (double) age / HALF_LIFE_MILLIS);
+        double weight = Math.pow(0.5, (double) age / HALF_LIFE_MILLIS);
         int upstreams = Math.max(1, entry.load.liveUpstreams());
-        return Math.round(trust * (entry.load.delayMillis(lengthClass) + (double) entry.sentMillis / upstreams));
+        return Math.round(weight * (entry.load.delayMillis(lengthClass) + (double) entry.sentMillis / upstreams));
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupOwnership.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupOwnership.java
@@ -58,14 +58,14 @@
                 return host;
             }
         }
-        return elsewhere(group, view, avoided);
+        return remoteOwner(group, view, avoided);
     }
 
     /**
      * Finds a router outside of the group's data centre. This is rare, so nothing is remembered: with the routers
      * of its data centre gone or avoided, a group is better served from afar than not at all.
      */
-    private static HostId elsewhere(Group group, MemberView view, Set<HostId> avoided) {
+    private static HostId remoteOwner(Group group, MemberView view, Set<HostId> avoided) {
         List<HostId> hosts = view.usable().stream()
                 .map(RosterHost::id)
                 .filter(host -> !avoided.contains(host))
@@ -91,10 +91,10 @@
         }
         List<HostId> hosts = candidates.stream().map(RosterHost::id).toList();
         List<HostId> order = Rendezvous.order(group.id().value(), hosts);
-        List<HostId> sound =
-                order.stream().filter(h -> !view.suspects().contains(h)).toList();
+        List<HostId> healthy =
+                order.stream().filter(host -> !view.suspects().contains(host)).toList();
         List<HostId> suspect =
-                order.stream().filter(h -> view.suspects().contains(h)).toList();
-        return Stream.concat(sound.stream(), suspect.stream()).toList();
+                order.stream().filter(host -> view.suspects().contains(host)).toList();
+        return Stream.concat(healthy.stream(), suspect.stream()).toList();
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupSampler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupSampler.java
@@ -23,7 +23,7 @@
 public final class GroupSampler {
 
     /** Up to this many groups, all are compared. */
-    static final int FEW = 8;
+    static final int MAX_COMPARED_ALL = 8;
 
     /** Leading prompt blocks that decide where a prefix belongs. */
     static final int AFFINITY_BLOCKS = 4;
@@ -60,27 +60,27 @@
         if (affinity != null && !usable.test(affinity)) {
             affinity = null;
         }
-        if (all.size() <= FEW) {
+        if (all.size() <= MAX_COMPARED_ALL) {
             return new Sample(all.stream().filter(usable).toList(), affinity);
         }
-        Set<Group> picked = new LinkedHashSet<>();
+        Set<Group> sampled = new LinkedHashSet<>();
         if (affinity != null) {
-            picked.add(affinity);
+            sampled.add(affinity);
         }
-        List<Group> near = configuration.groups(service, local);
-        for (int i = 0; i < LOCAL_SAMPLES && !near.isEmpty(); i++) {
-            picked.add(pick(near));
+        List<Group> localGroups = configuration.groups(service, local);
+        for (int i = 0; i < LOCAL_SAMPLES && !localGroups.isEmpty(); i++) {
+            sampled.add(randomOf(localGroups));
         }
-        picked.add(pick(all));
-        picked.removeIf(usable.negate());
-        if (picked.isEmpty()) {
+        sampled.add(randomOf(all));
+        sampled.removeIf(usable.negate());
+        if (sampled.isEmpty()) {
             return new Sample(all.stream().filter(usable).toList(), null);
         }
-        return new Sample(new ArrayList<>(picked), affinity);
+        return new Sample(new ArrayList<>(sampled), affinity);
     }
 
     /** Picks one at random. */
-    private Group pick(List<Group> groups) {
+    private Group randomOf(List<Group> groups) {
         return groups.get((int) Math.floorMod(random.getAsLong(), (long) groups.size()));
     }
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/PrefixAffinityGroupChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/PrefixAffinityGroupChooser.java
@@ -45,8 +45,8 @@
             return new GroupChoice(
                     least, preferred == null ? GroupChoice.Reason.LEAST_DELAY : GroupChoice.Reason.PREFIX);
         }
-        double worth = EXTRA_DELAY_MILLIS + request.promptTokens() / TOKENS_PER_MILLI;
-        boolean affordable = delay(request, preferred) <= delay(request, least) + worth;
+        double maxExtraMillis = EXTRA_DELAY_MILLIS + request.promptTokens() / TOKENS_PER_MILLI;
+        boolean affordable = delay(request, preferred) <= delay(request, least) + maxExtraMillis;
         return affordable
                 ? new GroupChoice(preferred, GroupChoice.Reason.PREFIX)
                 : new GroupChoice(least, GroupChoice.Reason.LEAST_DELAY);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryNamingTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryRouterSelectorTest.java
@@ -17,7 +17,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class EntryNamingTest {
+class EntryRouterSelectorTest {
 
     private static final Address ANYWHERE = new Address("127.0.0.1", 1);
     private static final DataCentreId OWN = new DataCentreId("dc-a");
@@ -43,19 +43,19 @@
      * <p>Cause: entry answers named all listed routers that were not suspected.
      */
     @Test
-    void leavesOutARouterThatIsNotKnownToServe() {
-        EntryRouterSelector naming = new EntryRouterSelector(OWN, host -> !host.equals(FRESH), 8);
-        assertThat(naming.select(view(), "10.0.0.1")).containsExactly(NEAR, FAR);
+    void leavesOutRoutersThatAreNotKnownToServe() {
+        EntryRouterSelector selector = new EntryRouterSelector(OWN, host -> !host.equals(FRESH), 8);
+        assertThat(selector.select(view(), "10.0.0.1")).containsExactly(NEAR, FAR);
     }
 
     @Test
-    void namesAllUsableRoutersWhileNoneIsKnownToServe() {
-        EntryRouterSelector naming = new EntryRouterSelector(OWN, host -> false, 8);
-        assertThat(naming.select(view(), "10.0.0.1")).containsExactlyInAnyOrder(NEAR, FRESH, FAR);
+    void selectsAllUsableRoutersWhileNoneIsKnownToServe() {
+        EntryRouterSelector selector = new EntryRouterSelector(OWN, host -> false, 8);
+        assertThat(selector.select(view(), "10.0.0.1")).containsExactlyInAnyOrder(NEAR, FRESH, FAR);
     }
 
     @Test
-    void leavesOutSuspectsAndNamesNoMoreThanAsked() {
+    void leavesOutSuspectsAndLimitsTheNumberOfRouters() {
         table.merge(new MemberRecord(FAR, 1, 0, MemberState.SUSPECT), 0);
         assertThat(new EntryRouterSelector(OWN, host -> true, 8).select(view(), "10.0.0.1"))
                 .containsExactlyInAnyOrder(NEAR, FRESH);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/GroupOwnershipTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/GroupOwnershipTest.java
@@ -28,10 +28,10 @@
     private static final Group GROUP = new Group(new GroupId("group-1"), DATA_CENTRE, ServiceKind.COMPLETION, "model");
 
     /** Pictures that follow each other. */
-    private static final int PICTURES = 200;
+    private static final int VIEWS = 200;
 
     /** Threads that ask at the same time. */
-    private static final int ASKERS = 6;
+    private static final int THREADS = 6;
 
     private final GroupOwnership ownership = new GroupOwnership();
 
@@ -63,43 +63,43 @@
      * <p>Cause: the owner of the old picture was remembered as one of the new picture, until the next change.
      */
     @Test
-    void remembersNoOwnerOfAnOlderPicture() throws InterruptedException {
+    void cachesNoOwnerOfAnOlderView() throws InterruptedException {
         HostId first = ownership.owner(GROUP, view(0, null), Set.of());
         AtomicReference<MemberView> newest = new AtomicReference<>(view(0, null));
-        AtomicLongArray asked = new AtomicLongArray(ASKERS);
-        List<Thread> askers = IntStream.range(0, ASKERS)
-                .mapToObj(number -> new Thread(() -> askUntilTheEnd(newest, asked, number)))
+        AtomicLongArray lookups = new AtomicLongArray(THREADS);
+        List<Thread> threads = IntStream.range(0, THREADS)
+                .mapToObj(index -> new Thread(() -> lookUpUntilStopped(newest, lookups, index)))
                 .toList();
-        askers.forEach(Thread::start);
+        threads.forEach(Thread::start);
         int stale = 0;
-        for (int picture = 1; picture <= PICTURES; picture++) {
-            MemberView next = view(picture, picture % 2 == 0 ? null : first);
+        for (int revision = 1; revision <= VIEWS; revision++) {
+            MemberView next = view(revision, revision % 2 == 0 ? null : first);
             newest.set(next);
             ownership.owner(GROUP, next, Set.of());
-            awaitTurns(asked);
-            boolean dead = picture % 2 == 1;
+            awaitLookups(lookups);
+            boolean dead = revision % 2 == 1;
             stale += dead && ownership.owner(GROUP, next, Set.of()).equals(first) ? 1 : 0;
         }
         newest.set(null);
-        for (Thread asker : askers) {
-            asker.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        assertThat(stale).as("owners that the newest picture calls dead").isZero();
+        assertThat(stale).as("owners that are dead in the newest view").isZero();
     }
 
     /** Asks for the owner again and again, with the newest picture each time. */
-    private void askUntilTheEnd(AtomicReference<MemberView> newest, AtomicLongArray asked, int number) {
+    private void lookUpUntilStopped(AtomicReference<MemberView> newest, AtomicLongArray lookups, int index) {
         for (MemberView view = newest.get(); view != null; view = newest.get()) {
             ownership.owner(GROUP, view, Set.of());
-            asked.incrementAndGet(number);
+            lookups.incrementAndGet(index);
         }
     }
 
     /** Waits until each asker has ended a question that it began after now, so that none has an older picture. */
-    private static void awaitTurns(AtomicLongArray asked) {
-        long[] before = IntStream.range(0, ASKERS).mapToLong(asked::get).toArray();
-        for (int number = 0; number < ASKERS; number++) {
-            while (asked.get(number) < before[number] + 2) {
+    private static void awaitLookups(AtomicLongArray lookups) {
+        long[] before = IntStream.range(0, THREADS).mapToLong(lookups::get).toArray();
+        for (int index = 0; index < THREADS; index++) {
+            while (lookups.get(index) < before[index] + 2) {
                 Thread.onSpinWait();
             }
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/RendezvousTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/RendezvousTest.java
@@ -11,19 +11,19 @@
 class RendezvousTest {
 
     @Test
-    void movesOnlyTheKeysOfAHostThatGoes() {
+    void movesOnlyTheKeysOfARemovedHost() {
         List<HostId> hosts = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             hosts.add(new HostId("h" + i));
         }
-        HostId gone = hosts.get(7);
-        List<HostId> left = new ArrayList<>(hosts);
-        left.remove(gone);
+        HostId removed = hosts.get(7);
+        List<HostId> remaining = new ArrayList<>(hosts);
+        remaining.remove(removed);
         int moved = 0;
         for (int key = 0; key < 2_000; key++) {
             HostId before = Rendezvous.first("k" + key, hosts);
-            HostId after = Rendezvous.first("k" + key, left);
-            if (before.equals(gone)) {
+            HostId after = Rendezvous.first("k" + key, remaining);
+            if (before.equals(removed)) {
                 moved++;
                 assertThat(after).isEqualTo(Rendezvous.order("k" + key, hosts).get(1));
             } else {
