--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
@@ -12,8 +12,8 @@
 import org.apricotstack.core.membership.RosterHost;
 
 /**
- * Chooses the routers that callers are told to connect to: those of the own data centre first, each caller its own
- * order, so that callers spread over the routers and find the same ones again.
+ * Selects the routers that a caller is told to connect to. Routers of this data centre come first, and each caller gets
+ * its own stable order, so that callers are spread over the routers and return to the same ones.
  */
 public final class EntryRouterSelector {
 
@@ -22,11 +22,11 @@
     private final int maxRouters;
 
     /**
-     * Creates the choice.
+     * Creates a selector.
      *
-     * @param ownDataCentre the data centre of the router that answers
+     * @param ownDataCentre the data centre of this router
      * @param serves tells whether a router is known to serve
-     * @param maxRouters routers named at most
+     * @param maxRouters maximum number of routers in an answer
      */
     public EntryRouterSelector(DataCentreId ownDataCentre, Predicate<HostId> serves, int maxRouters) {
         this.ownDataCentre = ownDataCentre;
@@ -35,13 +35,13 @@
     }
 
     /**
-     * Names routers for a caller.
+     * Selects routers for a caller.
      *
-     * <p>While no router is known to serve, as when all have just started, all usable ones are named: a caller that is
-     * told nothing cannot even ask again.
+     * <p>While no router is known to serve, as when all have just started, all usable routers are selected: a caller
+     * that gets no addresses has no router to ask again.
      *
-     * @param view the picture of the routers
-     * @param callerIp the caller's address
+     * @param view the membership view
+     * @param callerIp the caller's IP address
      * @return the routers, best first
      */
     public List<HostId> select(MemberView view, String callerIp) {
@@ -51,7 +51,7 @@
         return serving.isEmpty() ? new ArrayList<>(ordered).subList(0, Math.min(maxRouters, ordered.size())) : serving;
     }
 
-    /** Orders hosts for a caller; suspects are left out, as the others are many. */
+    /** Orders hosts for a caller; suspects are left out, because enough others remain. */
     private static List<HostId> order(List<RosterHost> hosts, String callerIp, MemberView view) {
         List<HostId> healthy = hosts.stream()
                 .map(RosterHost::id)
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupChoice.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupChoice.java
@@ -12,13 +12,13 @@
 
     /** Why a group was chosen; each reason has its own counter. */
     public enum Reason {
-        /** It is the only one. */
+        /** It is the only candidate. */
         ONLY_ONE,
-        /** It probably holds the prefix, and its load allows it. */
+        /** Its engines probably have the prefix in their KV cache, and its load is low enough. */
         PREFIX,
-        /** It has the least expected delay of those compared. */
+        /** It has the least expected delay of the compared groups. */
         LEAST_DELAY,
-        /** It was its turn. */
+        /** It was next in the rotation. */
         TURN
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupChooser.java
@@ -1,12 +1,12 @@
 package org.apricotstack.core.routing;
 
-/** Chooses the group that is to run a request. */
+/** Chooses the group that runs a request. */
 public interface GroupChooser {
 
     /**
      * Chooses a group.
      *
-     * @param request what the choice depends on
+     * @param request the inputs of the choice
      * @return the group and why
      */
     GroupChoice choose(RoutingRequest request);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoad.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoad.java
@@ -4,12 +4,12 @@
 import org.apricotstack.core.id.GroupId;
 
 /**
- * The load of a group as its owner sees it; it travels on replies that flow anyway.
+ * The load of a group as reported by its owner, piggybacked on replies.
  *
  * @param group the group
  * @param shortDelayMillis predicted time to first token of a short prompt that arrives now, in milliseconds
  * @param longDelayMillis predicted time to first token of a long prompt that arrives now, in milliseconds
- * @param liveUpstreams upstreams that take work
+ * @param liveUpstreams number of upstreams that accept work
  */
 public record GroupLoad(GroupId group, long shortDelayMillis, long longDelayMillis, int liveUpstreams) {
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoadTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupLoadTable.java
@@ -8,15 +8,15 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * The newest load that this router heard of each group, with its age.
+ * The latest load that the owner of each group reported to this router, with its age.
  *
- * <p>A load that is old says little: it is halved for each {@link #HALF_LIFE_MILLIS} of its age, so that a group
- * that was busy long ago is tried again. Requests that this router sent since are added, as the owner's figure
- * cannot hold them yet; without that, all requests between two replies would go to the same group.
+ * <p>Old loads are unreliable, so a load is halved for each {@link #HALF_LIFE_MILLIS} of its age, and a group that was
+ * busy long ago is tried again. Requests that this router has sent since the report are added, because the report does
+ * not include them; otherwise all requests between two replies would go to the same group.
  */
 public final class GroupLoadTable {
 
-    /** Age after which a reported load counts half, in milliseconds. */
+    /** Time in which the weight of a reported load halves, in milliseconds. */
     static final long HALF_LIFE_MILLIS = 2_000;
 
     private final Map<GroupId, Entry> entries = new ConcurrentHashMap<>();
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Takes a load from a reply.
+     * Records a load from a reply.
      *
      * @param load the load
      */
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Notes that a request was sent to a group.
+     * Records that a request was sent to a group.
      *
      * @param group the group
-     * @param serviceMillis predicted time that the request keeps it busy, in milliseconds
+     * @param serviceMillis predicted time for which the request occupies an upstream, in milliseconds
      */
     public void recordSent(GroupId group, long serviceMillis) {
         entries.computeIfPresent(
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Tells whether a group reported that it has no upstream that takes work.
+     * Tells whether a group reported that it has no upstream that accepts work.
      *
      * @param group the group
-     * @return whether its last, still trusted report says so
+     * @return whether its last report says so and is recent
      */
     public boolean isKnownEmpty(GroupId group) {
         Entry entry = entries.get(group);
@@ -81,11 +81,11 @@
     }
 
     /**
-     * A report with what was sent since.
+     * A report with the work sent since then.
      *
      * @param load the report
-     * @param atMillis when it came
-     * @param sentMillis work sent since, in milliseconds of one upstream
+     * @param atMillis the time of its arrival
+     * @param sentMillis work sent since then, in milliseconds of one upstream
      */
     private record Entry(GroupLoad load, long atMillis, long sentMillis) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupOwnership.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupOwnership.java
@@ -13,32 +13,32 @@
 import org.apricotstack.core.membership.RosterHost;
 
 /**
- * Tells which router owns a group: the first by rendezvous among the usable routers of the group's data centre, or
- * among all usable routers if that data centre has none.
+ * Determines which router owns a group: the first by rendezvous hashing among the usable routers of the group's data
+ * centre, or among all usable routers if that data centre has none.
  *
- * <p>Ownership makes accounting exact and keeps connections few; nothing that must be safe rests on it. While two
- * routers see different members, a group may have two owners for a while. Each then counts only the work that it
- * started itself: engines may be given more than they have room for, and queue or refuse it, but no answer is mixed
- * up, no stream is released by the other owner while its time limit runs, and work that must run at most once is
- * bound to its ticket and not to the owner.
+ * <p>Ownership makes accounting exact and limits the number of connections; no safety property depends on it. While two
+ * routers have different membership views, a group may temporarily have two owners. Each then counts only the work that
+ * it started itself: engines may be sent more than their capacity, and queue or refuse it, but no answers are mixed up,
+ * no stream is released by the other owner before its time limit, and work that must run at most once is bound to its
+ * ticket and not to the owner.
  */
 public final class GroupOwnership {
 
     private volatile Orders newest = new Orders(-1);
 
     /**
-     * The orders of the routers that were worked out for one picture.
+     * The orders of the routers that were computed for one membership view.
      *
-     * <p>Each picture has a map of its own. With one map for all, which was emptied at each new picture, a thread that
-     * was held up with an old picture put its order in after that, and a dead router owned a group until the next
-     * change: nobody looked after the group's engines (9% of pictures with six threads, see GroupOwnershipTest).
+     * <p>Each view has its own map. With one map that was cleared at each new view, a delayed thread with an old view
+     * inserted its order after the clearing, and a dead router owned a group until the next change: no router managed
+     * the group's engines (9% of views with six threads, see GroupOwnershipTest).
      *
-     * @param revision the picture's
+     * @param revision the revision of the view
      * @param byGroup routers of each group, the owner first
      */
     private record Orders(long revision, Map<GroupId, List<HostId>> byGroup) {
 
-        /** Creates no orders. */
+        /** Creates an empty cache. */
         private Orders(long revision) {
             this(revision, new ConcurrentHashMap<>());
         }
@@ -48,7 +48,7 @@
      * Returns the owner of a group.
      *
      * @param group the group
-     * @param view the picture of the routers
+     * @param view the membership view
      * @param avoided routers that have just failed this request
      * @return the owner, or {@code null} if no router is left
      */
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Finds a router outside of the group's data centre. This is rare, so nothing is remembered: with the routers
-     * of its data centre gone or avoided, a group is better served from afar than not at all.
+     * Finds a router outside of the group's data centre, for the case that all routers there are dead or avoided: a
+     * remote owner is better than none. The result is not cached, because this is rare.
      */
     private static HostId remoteOwner(Group group, MemberView view, Set<HostId> avoided) {
         List<HostId> hosts = view.usable().stream()
@@ -73,7 +73,7 @@
         return Rendezvous.first(group.id().value(), hosts);
     }
 
-    /** Returns the order of the routers for a group, remembered for as long as the picture is the same. */
+    /** Returns the order of the routers for a group, cached as long as the view is the same. */
     private List<HostId> order(Group group, MemberView view) {
         Orders orders = newest;
         if (orders.revision() != view.revision()) {
@@ -83,7 +83,7 @@
         return orders.byGroup().computeIfAbsent(group.id(), id -> computeOrder(group, view));
     }
 
-    /** Computes the order: suspects stand behind those that answer. */
+    /** Computes the order: suspects come after routers that answer. */
     private static List<HostId> computeOrder(Group group, MemberView view) {
         List<RosterHost> candidates = view.usable(group.dataCentre());
         if (candidates.isEmpty()) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupSampler.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/GroupSampler.java
@@ -14,18 +14,19 @@
 import org.apricotstack.core.id.DataCentreId;
 
 /**
- * Picks the few groups that are compared for one request, so that the cost of a choice does not grow with the fleet.
+ * Samples the groups that are compared for one request, so that the cost of a choice does not grow with the fleet.
  *
- * <p>All groups are compared while there are few. Of many, these are: the one that the prefix belongs to, some of
- * this router's data centre, and one of anywhere. Comparing a few at random is enough to keep load even (the power
- * of two choices); comparing all would also send every router to the same least busy group at the same time.
+ * <p>A small number of groups is compared completely. Of a larger number, the sample contains the group that the prefix
+ * maps to, some groups of this router's data centre, and one group of any data centre. Comparing a few random groups is
+ * enough to balance the load (the power of two choices); if all groups were compared, all routers would choose the same
+ * least busy group at the same time.
  */
 public final class GroupSampler {
 
-    /** Up to this many groups, all are compared. */
+    /** Maximum number of groups that are all compared. */
     static final int MAX_COMPARED_ALL = 8;
 
-    /** Leading prompt blocks that decide where a prefix belongs. */
+    /** Number of leading prompt blocks that determine the group of a prefix. */
     static final int AFFINITY_BLOCKS = 4;
 
     private static final int LOCAL_SAMPLES = 3;
@@ -45,13 +46,13 @@
     }
 
     /**
-     * Picks the groups to compare.
+     * Samples the groups to compare.
      *
      * @param configuration the configuration
-     * @param service the service that is asked for
+     * @param service the requested service
      * @param fingerprints fingerprints of the leading prompt blocks
-     * @param usable which groups may be chosen
-     * @return the groups and the one that the prefix belongs to
+     * @param usable tells which groups may be chosen
+     * @return the groups and the group that the prefix maps to
      */
     public Sample sample(
             FleetConfiguration configuration, Service service, List<Long> fingerprints, Predicate<Group> usable) {
@@ -79,7 +80,7 @@
         return new Sample(new ArrayList<>(sampled), affinity);
     }
 
-    /** Picks one at random. */
+    /** Returns a random group. */
     private Group randomOf(List<Group> groups) {
         return groups.get((int) Math.floorMod(random.getAsLong(), (long) groups.size()));
     }
@@ -97,7 +98,7 @@
      * The groups to compare.
      *
      * @param groups the groups, empty if none may be chosen
-     * @param affinity the one of them that the prefix belongs to, or {@code null}
+     * @param affinity the one of them that the prefix maps to, or {@code null}
      */
     public record Sample(List<Group> groups, Group affinity) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/PrefixAffinityGroupChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/PrefixAffinityGroupChooser.java
@@ -5,21 +5,21 @@
 import org.apricotstack.core.configuration.Group;
 
 /**
- * Chooses the group that a prefix belongs to, unless it is much busier than the least busy one.
+ * Chooses the group that a prefix maps to, unless it is much busier than the least busy group.
  *
  * <p>The prefix is mapped to a group by consistent hashing, so all routers choose the same group for the same prefix
- * without telling each other what engines hold. A prefix in great demand does not overload its group: past a bound on
- * the extra delay the request goes to the group with the least expected delay.
+ * without exchanging the contents of KV caches. A popular prefix does not overload its group: if the additional delay
+ * exceeds a bound, the request goes to the group with the least expected delay.
  */
 public final class PrefixAffinityGroupChooser implements GroupChooser {
 
-    /** Extra delay that affinity may cost whatever the length of the prompt, in milliseconds. */
+    /** Additional delay that affinity may cost for a prompt of any length, in milliseconds. */
     private static final long EXTRA_DELAY_MILLIS = 50;
 
-    /** Extra delay for the data centres that are not this router's own, in milliseconds. */
+    /** Additional delay of groups in other data centres, in milliseconds. */
     private static final long REMOTE_DELAY_MILLIS = 2;
 
-    /** Prompt tokens whose recomputation is worth one millisecond of delay. */
+    /** Number of prompt tokens whose repeated prefill is worth one millisecond of additional delay. */
     private static final double TOKENS_PER_MILLI = 20;
 
     private final GroupLoadTable loads;
@@ -52,7 +52,7 @@
                 : new GroupChoice(least, GroupChoice.Reason.LEAST_DELAY);
     }
 
-    /** Finds the group with the least expected delay; the first of equals. */
+    /** Finds the group with the least expected delay; the first one wins ties. */
     private Group leastDelay(RoutingRequest request) {
         Group best = null;
         long bestDelay = Long.MAX_VALUE;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/Rendezvous.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/Rendezvous.java
@@ -9,9 +9,9 @@
 import org.apricotstack.core.id.HostId;
 
 /**
- * Orders hosts for a key by rendezvous hashing: when one host goes, only the keys that it stood first for move.
+ * Orders hosts for a key by rendezvous hashing: when a host is removed, only the keys for which it was first move.
  *
- * <p>Based on highest random weight hashing (Thaler and Ravishankar).
+ * <p>Also known as highest random weight hashing (Thaler and Ravishankar).
  */
 public final class Rendezvous {
 
@@ -24,7 +24,7 @@
      *
      * @param key the key
      * @param hosts the hosts
-     * @return the hosts, the one that stands first for the key in front
+     * @return the hosts by descending weight for the key
      */
     public static List<HostId> order(String key, List<HostId> hosts) {
         return hosts.stream()
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Returns the host that stands first for a key.
+     * Returns the host with the greatest weight for a key.
      *
      * @param key the key
      * @param hosts the hosts
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Returns the weight of a host for a key; the host with the greatest stands first.
+     * Returns the weight of a host for a key; the host with the greatest weight is first.
      *
      * @param key the key
      * @param host the host
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/RoundRobinGroupChooser.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/RoundRobinGroupChooser.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Chooses groups in turn; a baseline for measurements. */
+/** Chooses groups in turn; serves as the baseline in measurements. */
 public final class RoundRobinGroupChooser implements GroupChooser {
 
     private final AtomicInteger turn = new AtomicInteger();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/RoutingRequest.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/RoutingRequest.java
@@ -7,12 +7,12 @@
 import org.apricotstack.core.id.DataCentreId;
 
 /**
- * What the choice of a group depends on.
+ * The inputs of the choice of a group.
  *
  * @param candidates groups that can serve the request, not empty
  * @param lengthClass its class
  * @param promptTokens its length in tokens
- * @param affinity the group that its prefix belongs to, one of the candidates; {@code null} for none
+ * @param affinity the candidate that its prefix maps to; {@code null} for none
  * @param local data centre of this router
  */
 public record RoutingRequest(
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryRouterSelectorTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/EntryRouterSelectorTest.java
@@ -36,11 +36,9 @@
     }
 
     /**
-     * Symptom: callers are refused with no_configuration while hosts are replaced.
-     *
-     * <p>Sequence of events: a fresh router is listed and answers probes, but has no configuration yet.
-     *
-     * <p>Cause: entry answers named all listed routers that were not suspected.
+     * Guards against callers that are refused with no_configuration while hosts are replaced: callers were sent to all
+     * listed routers that were not suspected, but a new router is listed and answers probes before it has a
+     * configuration.
      */
     @Test
     void leavesOutRoutersThatAreNotKnownToServe() {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/GroupOwnershipTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/GroupOwnershipTest.java
@@ -27,10 +27,10 @@
     private static final DataCentreId DATA_CENTRE = new DataCentreId("dc-a");
     private static final Group GROUP = new Group(new GroupId("group-1"), DATA_CENTRE, ServiceKind.COMPLETION, "model");
 
-    /** Pictures that follow each other. */
+    /** Number of successive membership views. */
     private static final int VIEWS = 200;
 
-    /** Threads that ask at the same time. */
+    /** Number of concurrent threads. */
     private static final int THREADS = 6;
 
     private final GroupOwnership ownership = new GroupOwnership();
@@ -55,12 +55,12 @@
     }
 
     /**
-     * Symptom: nobody looks after the engines of a dead router's group; an order of the operators never reaches them.
+     * Guards against a group of a dead router whose engines no router manages, so that operators' orders never reach
+     * them.
      *
-     * <p>Sequence of events: one thread, with the picture in which the router lives, is held up just before it
-     * remembers the owner; another one brings the picture in which the router is dead.
-     *
-     * <p>Cause: the owner of the old picture was remembered as one of the new picture, until the next change.
+     * <p>A thread with the view in which the router is alive was delayed just before it cached the owner, while another
+     * thread brought the view in which the router is dead. The owner of the old view was then cached for the new one
+     * until the next change.
      */
     @Test
     void cachesNoOwnerOfAnOlderView() throws InterruptedException {
@@ -87,7 +87,7 @@
         assertThat(stale).as("owners that are dead in the newest view").isZero();
     }
 
-    /** Asks for the owner again and again, with the newest picture each time. */
+    /** Looks up the owner repeatedly, each time with the newest view. */
     private void lookUpUntilStopped(AtomicReference<MemberView> newest, AtomicLongArray lookups, int index) {
         for (MemberView view = newest.get(); view != null; view = newest.get()) {
             ownership.owner(GROUP, view, Set.of());
@@ -95,7 +95,9 @@
         }
     }
 
-    /** Waits until each asker has ended a question that it began after now, so that none has an older picture. */
+    /**
+     * Waits until each thread has finished a lookup that it started after this call, so that none uses an older view.
+     */
     private static void awaitLookups(AtomicLongArray lookups) {
         long[] before = IntStream.range(0, THREADS).mapToLong(lookups::get).toArray();
         for (int index = 0; index < THREADS; index++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/routing/LeastDelayTestChooser.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/routing/LeastDelayTestChooser.java
@@ -4,7 +4,7 @@
 
 import org.apricotstack.core.configuration.Group;
 
-/** Chooses the group with the least expected delay, by name among equals; for tests that want no affinity. */
+/** Chooses the group with the least expected delay and breaks ties by id, for tests without affinity. */
 public final class LeastDelayTestChooser implements GroupChooser {
 
     private final GroupLoadTable loads;
