--- a/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamGuard.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamGuard.java
@@ -14,7 +14,7 @@
 public final class StreamGuard {
 
     private final AttemptId attempt;
-    private long next;
+    private long nextOffset;
 
     /**
      * Creates a guard.
@@ -24,7 +24,7 @@
      */
     public StreamGuard(AttemptId attempt, long resumeOffset) {
         this.attempt = attempt;
-        this.next = resumeOffset;
+        this.nextOffset = resumeOffset;
     }
 
     /**
@@ -35,32 +35,32 @@
      */
     public StreamVerdict check(AttemptEvent event) {
         if (!attempt.equals(event.attempt())) {
-            return foreign(event.attempt());
+            return checkForeign(event.attempt());
         }
         if (event.signal() instanceof Chunk chunk) {
             return checkChunk(chunk);
         }
         if (event.signal() instanceof Completed completed) {
-            return completed.total() == next ? StreamVerdict.PASS : StreamVerdict.CUT;
+            return completed.total() == nextOffset ? StreamVerdict.PASS : StreamVerdict.CUT;
         }
         return StreamVerdict.PASS;
     }
 
     /** Judges an event that names another attempt. */
-    private StreamVerdict foreign(AttemptId other) {
+    private StreamVerdict checkForeign(AttemptId other) {
         boolean sameRequest = other != null && other.request().equals(attempt.request());
         return sameRequest && other.number() < attempt.number() ? StreamVerdict.LATE : StreamVerdict.CROSSED;
     }
 
     /** Judges a piece by its place. */
     private StreamVerdict checkChunk(Chunk chunk) {
-        if (chunk.offset() + chunk.count() <= next && chunk.count() > 0) {
+        if (chunk.offset() + chunk.count() <= nextOffset && chunk.count() > 0) {
             return StreamVerdict.REPEATED;
         }
-        if (chunk.offset() != next) {
+        if (chunk.offset() != nextOffset) {
             return StreamVerdict.CUT;
         }
-        next += chunk.count();
+        nextOffset += chunk.count();
         return StreamVerdict.PASS;
     }
 
@@ -70,6 +70,6 @@
      * @return the offset of the next unit
      */
     public long offset() {
-        return next;
+        return nextOffset;
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/stream/StreamGuardTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/stream/StreamGuardTest.java
@@ -29,21 +29,21 @@
         "-1, 1, REPEATED",
         "9, 0, CUT"
     })
-    void judgesAPieceByItsPlace(long offset, long count, StreamVerdict expected) {
+    void classifiesChunksByOffset(long offset, long count, StreamVerdict expected) {
         assertThat(new StreamGuard(ATTEMPT, 5).check(chunk(ATTEMPT, offset, count)))
                 .isEqualTo(expected);
     }
 
     @ParameterizedTest
     @CsvSource({"r, 1, LATE", "r, 3, CROSSED", "other, 1, CROSSED", "other, 2, CROSSED"})
-    void doesNotPassWhatBelongsToAnotherAttempt(String request, int number, StreamVerdict expected) {
+    void rejectsEventsOfAnotherAttempt(String request, int number, StreamVerdict expected) {
         AttemptId foreign = new AttemptId(new RequestId(request), number);
         assertThat(new StreamGuard(ATTEMPT, 0).check(chunk(foreign, 0, 1))).isEqualTo(expected);
     }
 
     @ParameterizedTest
     @CsvSource({"3, PASS", "2, CUT", "4, CUT", "-1, CUT"})
-    void passesAnEndOnlyWithTheRightCount(long total, StreamVerdict expected) {
+    void acceptsCompletionOnlyWithTheRightCount(long total, StreamVerdict expected) {
         StreamGuard guard = new StreamGuard(ATTEMPT, 0);
         guard.check(chunk(ATTEMPT, 0, 3));
         assertThat(guard.check(new AttemptEvent(ATTEMPT, new Completed(total, 1, 0, "stop"))))
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void failsAnEventWithoutAName() {
+    void rejectsAnEventWithoutAnAttemptId() {
         assertThat(new StreamGuard(ATTEMPT, 0).check(chunk(null, 0, 1))).isEqualTo(StreamVerdict.CROSSED);
     }
 }
