--- a/apricotstack-core/src/main/java/org/apricotstack/core/stream/AttemptEvent.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/stream/AttemptEvent.java
@@ -8,7 +8,7 @@
 /**
  * One event of an attempt.
  *
- * @param attempt the attempt as the sender names it
+ * @param attempt the attempt id that the sender states
  * @param load the load of the group, or {@code null}
  * @param signal what happened
  */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamGuard.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamGuard.java
@@ -5,11 +5,12 @@
 import org.apricotstack.core.stream.AttemptSignal.Completed;
 
 /**
- * Checks the events of one attempt, so that a crossed, cut or doubled answer is never passed on as whole.
+ * Checks the events of one attempt, so that an answer that is mixed up, incomplete or partly duplicated is never
+ * forwarded as complete.
  *
- * <p>What goes wrong: an upstream or a connection mixes two streams, drops a piece, sends a piece again after a
- * resume, or ends early. One notices by the echoed attempt id, by offsets that do not follow each other, and by a
- * final count that differs. The guard sits at the owner and again at the entry, so each hop is covered.
+ * <p>An upstream or a connection may mix two streams, drop a chunk, send a chunk again after a resume, or end early.
+ * These faults show in the echoed attempt id, in offsets that are not consecutive, and in a wrong final count. The
+ * owner and the entry router each use a guard, so that each hop is covered.
  */
 public final class StreamGuard {
 
@@ -20,7 +21,7 @@
      * Creates a guard.
      *
      * @param attempt the attempt whose events are expected
-     * @param resumeOffset units of the answer that were passed on by earlier attempts
+     * @param resumeOffset units of the answer that earlier attempts forwarded
      */
     public StreamGuard(AttemptId attempt, long resumeOffset) {
         this.attempt = attempt;
@@ -46,13 +47,13 @@
         return StreamVerdict.PASS;
     }
 
-    /** Judges an event that names another attempt. */
+    /** Classifies an event of another attempt. */
     private StreamVerdict checkForeign(AttemptId other) {
         boolean sameRequest = other != null && other.request().equals(attempt.request());
         return sameRequest && other.number() < attempt.number() ? StreamVerdict.LATE : StreamVerdict.CROSSED;
     }
 
-    /** Judges a piece by its place. */
+    /** Classifies a chunk by its offset. */
     private StreamVerdict checkChunk(Chunk chunk) {
         if (chunk.offset() + chunk.count() <= nextOffset && chunk.count() > 0) {
             return StreamVerdict.REPEATED;
@@ -65,7 +66,7 @@
     }
 
     /**
-     * Returns how much of the answer was passed on.
+     * Returns how much of the answer was accepted.
      *
      * @return the offset of the next unit
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamVerdict.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/stream/StreamVerdict.java
@@ -1,10 +1,10 @@
 package org.apricotstack.core.stream;
 
-/** What is to be done with an event; each verdict but {@link #PASS} has its own counter. */
+/** What to do with an event; each verdict except {@link #PASS} has its own counter. */
 public enum StreamVerdict {
-    /** Pass it on. */
+    /** Forward it. */
     PASS,
-    /** It repeats what was passed on already, as after a resume; drop it. */
+    /** It repeats what was already forwarded, as after a resume; drop it. */
     REPEATED,
     /** It belongs to an earlier attempt of the same request; drop it. */
     LATE,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/stream/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/stream/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Checks that an answer is whole and belongs to its attempt.
- */
+/** The events of an attempt, and checks that an answer is complete and belongs to its attempt. */
 package org.apricotstack.core.stream;
