--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/TicketLedger.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/TicketLedger.java
@@ -27,16 +27,16 @@
 public final class TicketLedger {
 
     /** Longest answer that is kept for repetition, in bytes. */
-    static final long MOST_ANSWER_BYTES = 64L << 10;
+    static final long MAX_ANSWER_BYTES = 64L << 10;
 
     /** Memory for all kept answers, in bytes. */
-    static final long MOST_ANSWERS_BYTES = 16L << 20;
+    static final long MAX_TOTAL_ANSWER_BYTES = 16L << 20;
 
     /** When to ask again for a request that runs, in milliseconds. */
     private static final long IN_USE_RETRY_MILLIS = 500;
 
     private final ProcessId self;
-    private final HashFunction sealing;
+    private final HashFunction sealFunction;
     private final MonotonicClock clock;
     private final Map<Long, Entry> spent = new LinkedHashMap<>();
     private long lastSerial;
@@ -51,7 +51,7 @@
      */
     public TicketLedger(ProcessId self, byte[] key, MonotonicClock clock) {
         this.self = self;
-        this.sealing = Hashing.hmacSha256(key);
+        this.sealFunction = Hashing.hmacSha256(key);
         this.clock = clock;
     }
 
@@ -62,8 +62,8 @@
      * @return the ticket
      */
     public synchronized Ticket issue(long validMillis) {
-        Ticket open = new Ticket(self, ++lastSerial, clock.millis() + validMillis, "");
-        return new Ticket(self, open.serial(), open.expiresMillis(), seal(open));
+        Ticket unsealed = new Ticket(self, ++lastSerial, clock.millis() + validMillis, "");
+        return new Ticket(self, unsealed.serial(), unsealed.expiresMillis(), seal(unsealed));
     }
 
     /**
@@ -74,7 +74,7 @@
      * @return what may happen
      */
     public synchronized SpendDecision spend(Ticket ticket, String contentDigest) {
-        forgetExpired();
+        removeExpired();
         if (!isSealedHere(ticket)) {
             return refuse(Refusal.notRun(RefusalReason.TICKET_INVALID, 0));
         }
@@ -124,7 +124,7 @@
             return;
         }
         entry.running = false;
-        if (answer != null && answer.bytes() <= MOST_ANSWER_BYTES) {
+        if (answer != null && answer.bytes() <= MAX_ANSWER_BYTES) {
             entry.answer = answer;
             answersBytes += answer.bytes();
             dropOldAnswers();
@@ -136,14 +136,14 @@
      *
      * @return the number
      */
-    public synchronized int remembered() {
+    public synchronized int recordedTickets() {
         return spent.size();
     }
 
     /** Drops the oldest answers over the bound; their tickets stay spent. */
     private void dropOldAnswers() {
         for (Entry entry : spent.values()) {
-            if (answersBytes <= MOST_ANSWERS_BYTES) {
+            if (answersBytes <= MAX_TOTAL_ANSWER_BYTES) {
                 return;
             }
             if (entry.answer != null) {
@@ -154,14 +154,14 @@
     }
 
     /** Forgets spent tickets that have expired and are not running. */
-    private void forgetExpired() {
+    private void removeExpired() {
         long now = clock.millis();
         spent.values().removeIf(entry -> {
-            boolean forget = !entry.running && now >= entry.expiresMillis;
-            if (forget && entry.answer != null) {
+            boolean expired = !entry.running && now >= entry.expiresMillis;
+            if (expired && entry.answer != null) {
                 answersBytes -= entry.answer.bytes();
             }
-            return forget;
+            return expired;
         });
     }
 
@@ -174,7 +174,9 @@
 
     /** Computes the seal of a ticket. */
     private String seal(Ticket ticket) {
-        return sealing.hashString(ticket.sealedText(), StandardCharsets.UTF_8).toString();
+        return sealFunction
+                .hashString(ticket.sealedText(), StandardCharsets.UTF_8)
+                .toString();
     }
 
     /** Wraps a refusal. */
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ticket/TicketLedgerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ticket/TicketLedgerTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void runsOnceAndThenRepeatsTheAnswer() {
+    void runsOnceAndThenReplaysTheAnswer() {
         Ticket ticket = ledger.issue(VALID_MILLIS);
         assertThat(ledger.spend(ticket, "d")).isInstanceOf(SpendDecision.Run.class);
         assertRefused(ledger.spend(ticket, "d"), RefusalReason.TICKET_IN_USE, Outcome.UNKNOWN);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void runsAgainOnlyAfterAnEndThatWasNotRun() {
+    void runsAgainOnlyIfTheRequestWasNotRun() {
         Ticket ticket = ledger.issue(VALID_MILLIS);
         ledger.spend(ticket, "d");
         ledger.endNotRun(ticket.serial());
@@ -50,17 +50,17 @@
     }
 
     @Test
-    void saysUnknownAndNotNotRunAfterTheTicketHasExpired() {
+    void reportsUnknownOutcomeAfterTheTicketHasExpired() {
         Ticket ticket = ledger.issue(VALID_MILLIS);
         ledger.spend(ticket, "d");
         ledger.end(ticket.serial(), null);
         clock.advanceMillis(VALID_MILLIS);
         assertRefused(ledger.spend(ticket, "d"), RefusalReason.TICKET_EXPIRED, Outcome.UNKNOWN);
-        assertThat(ledger.remembered()).isZero();
+        assertThat(ledger.recordedTickets()).isZero();
     }
 
     @Test
-    void remembersARunThatOutlivesItsTicket() {
+    void recordsARunThatOutlivesItsTicket() {
         Ticket ticket = ledger.issue(VALID_MILLIS);
         ledger.spend(ticket, "d");
         clock.advanceMillis(10 * VALID_MILLIS);
@@ -76,22 +76,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"r1/3!1!999999!00", "r1/4!1!1!", "r1/3!2!2001!ffff"})
-    void refusesWhatItHasNotIssued(String text) {
+    void refusesTicketsOfOtherIssuersAndForgedTickets(String text) {
         assertRefused(ledger.spend(Ticket.parse(text), "d"), RefusalReason.TICKET_INVALID, Outcome.NOT_RUN);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "x", "r1/3!1!2", "r1!1!2!3", "r1/x!1!2!3", "r1/3!x!2!3", "r1/3!1!x!3", "/3!1!2!3"})
-    void readsNoTicketFromOtherText(String text) {
+    void parsesNoTicketFromMalformedText(String text) {
         assertThat(Ticket.parse(text)).isNull();
     }
 
     @Test
-    void keepsAnswersWithinItsMemoryAndTheirTicketsSpent() {
+    void limitsStoredAnswersAndKeepsTheirTicketsSpent() {
         List<Ticket> tickets = new ArrayList<>();
-        RecordedAnswer answer = new RecordedAnswer(List.of(), TicketLedger.MOST_ANSWER_BYTES);
-        long fitting = TicketLedger.MOST_ANSWERS_BYTES / TicketLedger.MOST_ANSWER_BYTES;
-        for (int i = 0; i <= fitting; i++) {
+        RecordedAnswer answer = new RecordedAnswer(List.of(), TicketLedger.MAX_ANSWER_BYTES);
+        long capacity = TicketLedger.MAX_TOTAL_ANSWER_BYTES / TicketLedger.MAX_ANSWER_BYTES;
+        for (int i = 0; i <= capacity; i++) {
             Ticket ticket = ledger.issue(VALID_MILLIS);
             ledger.spend(ticket, "d");
             ledger.end(ticket.serial(), answer);
@@ -99,6 +99,6 @@
         }
         assertRefused(ledger.spend(tickets.get(0), "d"), RefusalReason.TICKET_SPENT, Outcome.UNKNOWN);
         assertThat(ledger.spend(tickets.get(1), "d")).isEqualTo(new SpendDecision.Replay(answer));
-        assertThat(ledger.remembered()).isEqualTo(tickets.size());
+        assertThat(ledger.recordedTickets()).isEqualTo(tickets.size());
     }
 }
