--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/RecordedAnswer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/RecordedAnswer.java
@@ -5,10 +5,10 @@
 import org.apricotstack.core.stream.AttemptSignal;
 
 /**
- * The whole answer of a request that was run with a ticket, kept so that a caller who repeats the request gets the
- * same answer and no second run.
+ * The complete answer of a request that was run with a ticket, stored so that a caller that repeats the request gets
+ * the same answer without a second run.
  *
- * @param signals what the caller was sent, in order, ending with the explicit end
- * @param bytes memory that they take
+ * @param signals the signals that were sent to the caller, in order, up to the explicit end
+ * @param bytes the memory that they occupy
  */
 public record RecordedAnswer(List<AttemptSignal> signals, long bytes) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/SpendDecision.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/SpendDecision.java
@@ -2,18 +2,18 @@
 
 import org.apricotstack.core.failure.Refusal;
 
-/** What may happen with a request that brings a ticket. */
+/** The decision about a request with a ticket. */
 public sealed interface SpendDecision {
 
     /**
-     * The request may run; its end must be told to the ledger.
+     * The request may run; its end must be recorded in the ledger.
      *
-     * @param serial the ticket's number
+     * @param serial the serial number of the ticket
      */
     record Run(long serial) implements SpendDecision {}
 
     /**
-     * The request was run; this is its answer.
+     * The request has already run; its recorded answer is returned.
      *
      * @param answer the answer
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/Ticket.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/Ticket.java
@@ -6,9 +6,9 @@
  * Permission to run one request at most once.
  *
  * @param issuer the process that issued it, the only one that may spend it
- * @param serial number within that process
- * @param expiresMillis when it ends, in the monotonic clock of that process
- * @param seal proof that the process issued it
+ * @param serial serial number within that process
+ * @param expiresMillis the time of expiry, on the monotonic clock of that process
+ * @param seal message authentication code that proves that the process issued it
  */
 public record Ticket(ProcessId issuer, long serial, long expiresMillis, String seal) {
 
@@ -18,10 +18,10 @@
     private static final int PARTS = 4;
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text the form written by {@link #toString()}
-     * @return the ticket, or {@code null} if the text has another form
+     * @return the ticket, or {@code null} if the text is malformed
      */
     public static Ticket parse(String text) {
         String[] parts = text == null ? new String[0] : text.split(SEPARATOR, -1);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Returns the part of the text form that is sealed. */
+    /** Returns the part of the text form that the seal covers. */
     String sealedText() {
         return issuer + SEPARATOR + serial + SEPARATOR + expiresMillis;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/TicketLedger.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/TicketLedger.java
@@ -16,23 +16,23 @@
 /**
  * Issues and spends the tickets of this process.
  *
- * <p>A ticket lives and dies with the process that issued it, because only its memory knows whether the ticket was
- * spent. No other process ever spends it, so no partition, restart or pause can let a request run twice. When the
- * process is gone, the outcome is unknown, and nobody may say otherwise.
+ * <p>A ticket is valid only while the process that issued it runs, because only that process knows whether the ticket
+ * was spent. No other process ever spends it, so no partition, restart or pause can let a request run twice. After the
+ * process has ended, the outcome is unknown and must be reported as such.
  *
- * <p>Unspent tickets take no memory: a seal proves that this process issued them. A spent ticket is remembered
- * until it expires; after that a request that brings it is refused with an unknown outcome, since the record may be
- * gone.
+ * <p>Unspent tickets occupy no memory: a seal proves that this process issued them. A spent ticket is recorded until it
+ * expires; after that, a request with this ticket is refused with an unknown outcome, because the record may have been
+ * removed.
  */
 public final class TicketLedger {
 
-    /** Longest answer that is kept for repetition, in bytes. */
+    /** Maximum size of an answer that is stored for replay, in bytes. */
     static final long MAX_ANSWER_BYTES = 64L << 10;
 
-    /** Memory for all kept answers, in bytes. */
+    /** Maximum total size of the stored answers, in bytes. */
     static final long MAX_TOTAL_ANSWER_BYTES = 16L << 20;
 
-    /** When to ask again for a request that runs, in milliseconds. */
+    /** Suggested retry delay while a request with the same ticket is running, in milliseconds. */
     private static final long IN_USE_RETRY_MILLIS = 500;
 
     private final ProcessId self;
@@ -58,7 +58,7 @@
     /**
      * Issues a ticket.
      *
-     * @param validMillis how long it may be spent, in milliseconds
+     * @param validMillis time for which it may be spent, in milliseconds
      * @return the ticket
      */
     public synchronized Ticket issue(long validMillis) {
@@ -67,11 +67,11 @@
     }
 
     /**
-     * Decides about a request that brings a ticket of this process.
+     * Decides about a request with a ticket of this process.
      *
      * @param ticket the ticket
-     * @param contentDigest digest of the request, so that one ticket serves one request
-     * @return what may happen
+     * @param contentDigest digest of the request, which binds the ticket to one request
+     * @return the decision
      */
     public synchronized SpendDecision spend(Ticket ticket, String contentDigest) {
         removeExpired();
@@ -92,7 +92,7 @@
         return new SpendDecision.Run(ticket.serial());
     }
 
-    /** Decides about a ticket that was spent. */
+    /** Decides about a ticket that was already spent. */
     private static SpendDecision spentBefore(Entry entry) {
         if (entry.running) {
             return refuse(new Refusal(RefusalReason.TICKET_IN_USE, Outcome.UNKNOWN, IN_USE_RETRY_MILLIS, ""));
@@ -104,19 +104,19 @@
     }
 
     /**
-     * Notes that a request was not run; its ticket may be spent again.
+     * Records that a request was not run, so that its ticket may be spent again.
      *
-     * @param serial the ticket's number
+     * @param serial the serial number of the ticket
      */
     public synchronized void endNotRun(long serial) {
         spent.remove(serial);
     }
 
     /**
-     * Notes the end of a request that may have been run.
+     * Records the end of a request that may have been run.
      *
-     * @param serial the ticket's number
-     * @param answer its whole answer, or {@code null} if there is none
+     * @param serial the serial number of the ticket
+     * @param answer its complete answer, or {@code null} if there is none
      */
     public synchronized void end(long serial, RecordedAnswer answer) {
         Entry entry = spent.get(serial);
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Returns how many spent tickets are remembered.
+     * Returns the number of spent tickets that are recorded.
      *
      * @return the number
      */
@@ -140,7 +140,7 @@
         return spent.size();
     }
 
-    /** Drops the oldest answers over the bound; their tickets stay spent. */
+    /** Drops the oldest answers until the total is within its limit; their tickets stay spent. */
     private void dropOldAnswers() {
         for (Entry entry : spent.values()) {
             if (answersBytes <= MAX_TOTAL_ANSWER_BYTES) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Forgets spent tickets that have expired and are not running. */
+    /** Removes expired tickets whose requests are not running. */
     private void removeExpired() {
         long now = clock.millis();
         spent.values().removeIf(entry -> {
@@ -191,7 +191,7 @@
         private boolean running = true;
         private RecordedAnswer answer;
 
-        /** Creates the entry of a request that runs. */
+        /** Creates the entry of a running request. */
         private Entry(String contentDigest, long expiresMillis) {
             this.contentDigest = contentDigest;
             this.expiresMillis = expiresMillis;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ticket/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ticket/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Tickets that let a request run at most once.
- */
+/** Tickets, which ensure that a request runs at most once. */
 package org.apricotstack.core.ticket;
