--- a/apricotstack-core/src/main/java/org/apricotstack/core/time/Deadline.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/time/Deadline.java
@@ -15,7 +15,7 @@
     /** Time for the answer of a process that works for this one, in milliseconds. */
     static final long ANSWER_MARGIN_MILLIS = 50;
 
-    private static final long MARGIN_PART = 10;
+    private static final long MARGIN_DIVISOR = 10;
 
     /**
      * Creates the deadline that lies some time ahead.
@@ -56,7 +56,7 @@
      * @return a deadline that is earlier by {@link #ANSWER_MARGIN_MILLIS}, or by a tenth of a short time that is left
      */
     public Deadline withMargin(MonotonicClock clock) {
-        long margin = Math.min(ANSWER_MARGIN_MILLIS, remainingMillis(clock) / MARGIN_PART);
+        long margin = Math.min(ANSWER_MARGIN_MILLIS, remainingMillis(clock) / MARGIN_DIVISOR);
         return new Deadline(atNanos - margin * NANOS_PER_MILLI);
     }
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/time/PeerClock.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/time/PeerClock.java
@@ -17,7 +17,7 @@
     private static final long RENEWAL_NANOS = 60_000_000_000L;
 
     private ProcessId process;
-    private long aheadNanos;
+    private long offsetNanos;
     private long renewedNanos;
 
     /**
@@ -28,12 +28,12 @@
      * @param localNanos the local clock on arrival
      */
     public synchronized void observe(ProcessId from, long peerNanos, long localNanos) {
-        long ahead = peerNanos - localNanos;
+        long offset = peerNanos - localNanos;
         boolean otherProcess = !from.equals(process);
-        boolean old = localNanos - renewedNanos > RENEWAL_NANOS;
-        if (otherProcess || old || ahead > aheadNanos) {
+        boolean expired = localNanos - renewedNanos > RENEWAL_NANOS;
+        if (otherProcess || expired || offset > offsetNanos) {
             process = from;
-            aheadNanos = ahead;
+            offsetNanos = offset;
             renewedNanos = localNanos;
         }
     }
@@ -49,7 +49,7 @@
         if (!to.equals(process)) {
             return null;
         }
-        return new Deadline(deadline.atNanos() + aheadNanos);
+        return new Deadline(deadline.atNanos() + offsetNanos);
     }
 
     /**
--- a/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
@@ -23,17 +23,17 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "100, 0", "0, 300", "700, 20", "1000000, 1"})
-    void tellsADeadlineThatIsNeverLate(long firstTransit, long secondTransit) {
+    void translatesDeadlinesThatAreNeverLate(long firstTransit, long secondTransit) {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1_000 + OFFSET, 1_000 + firstTransit);
         clock.observe(PEER, 9_000 + OFFSET, 9_000 + secondTransit);
-        Deadline told = clock.translate(PEER, new Deadline(50_000));
-        assertThat(told.atNanos()).isLessThanOrEqualTo(50_000 + OFFSET);
-        assertThat(50_000 + OFFSET - told.atNanos()).isEqualTo(Math.min(firstTransit, secondTransit));
+        Deadline translated = clock.translate(PEER, new Deadline(50_000));
+        assertThat(translated.atNanos()).isLessThanOrEqualTo(50_000 + OFFSET);
+        assertThat(50_000 + OFFSET - translated.atNanos()).isEqualTo(Math.min(firstTransit, secondTransit));
     }
 
     @Test
-    void tellsNothingToAnotherProcessOfTheSameHost() {
+    void translatesNothingForAnotherProcessOfTheSameHost() {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1, 1);
         assertThat(clock.translate(new ProcessId(PEER.host(), 8), new Deadline(5)))
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void startsAnewWithALaterProcess() {
+    void startsOverWithALaterProcess() {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1_000_000, 10);
         ProcessId later = new ProcessId(PEER.host(), 8);
