--- a/apricotstack-core/src/main/java/org/apricotstack/core/time/Deadline.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/time/Deadline.java
@@ -1,9 +1,9 @@
 package org.apricotstack.core.time;
 
 /**
- * The instant by which a request must have ended, in the monotonic clock of one process.
+ * The instant by which a request must have ended, on the monotonic clock of one process.
  *
- * <p>Deadlines never cross hosts as instants of the wall clock; see {@link PeerClock}.
+ * <p>Deadlines are never sent between hosts as wall-clock instants; see {@link PeerClock}.
  *
  * @param atNanos the instant, in nanoseconds of the local clock
  */
@@ -12,13 +12,13 @@
     /** Nanoseconds in a millisecond. */
     public static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Time for the answer of a process that works for this one, in milliseconds. */
+    /** Time reserved for the answer of a process that works on behalf of this one, in milliseconds. */
     static final long ANSWER_MARGIN_MILLIS = 50;
 
     private static final long MARGIN_DIVISOR = 10;
 
     /**
-     * Creates the deadline that lies some time ahead.
+     * Creates a deadline relative to the current time.
      *
      * @param clock the local clock
      * @param millis the time from now, in milliseconds
@@ -42,18 +42,19 @@
      * Tells whether the deadline has passed.
      *
      * @param clock the local clock
-     * @return whether nothing is left
+     * @return whether no time is left
      */
     public boolean hasPassed(MonotonicClock clock) {
         return clock.nanos() >= atNanos;
     }
 
     /**
-     * Returns the deadline for a process that works for this one: a little earlier, so that its own word on the
-     * outcome arrives before this process must give up.
+     * Returns a slightly earlier deadline for a process that works on behalf of this one, so that its report of the
+     * outcome arrives before this process has to give up.
      *
      * @param clock the local clock
-     * @return a deadline that is earlier by {@link #ANSWER_MARGIN_MILLIS}, or by a tenth of a short time that is left
+     * @return a deadline that is earlier by {@link #ANSWER_MARGIN_MILLIS} or by a tenth of the remaining time,
+     *     whichever is less
      */
     public Deadline withMargin(MonotonicClock clock) {
         long margin = Math.min(ANSWER_MARGIN_MILLIS, remainingMillis(clock) / MARGIN_DIVISOR);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/time/MonotonicClock.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/time/MonotonicClock.java
@@ -1,9 +1,9 @@
 package org.apricotstack.core.time;
 
 /**
- * Reads a clock that never goes back and goes on while the process is paused.
+ * A clock that never goes backwards and continues while the process is paused.
  *
- * <p>The wall clock is not used for decisions: it is set by operators and differs between hosts.
+ * <p>The wall clock is not used for decisions: operators can set it, and it differs between hosts.
  */
 @FunctionalInterface
 public interface MonotonicClock {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/time/PeerClock.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/time/PeerClock.java
@@ -3,17 +3,17 @@
 import org.apricotstack.core.id.ProcessId;
 
 /**
- * Follows the monotonic clock of one peer process, so that a deadline can be told in the clock of the receiver.
+ * Estimates the monotonic clock of one peer process, so that a deadline can be sent in the clock of the receiver.
  *
- * <p>A message may wait in a socket for as long as its receiver is paused. A receiver that counts the remaining time
- * from the moment it reads the message would then act after the sender has given up. This class keeps a lower bound
- * of the peer's clock: a reading that the peer sent is never ahead of the peer's clock when it arrives, and both
- * clocks run at the same pace. A deadline that is told as <em>lower bound plus remaining time</em> is early by the
- * transit time of the reading, and never late.
+ * <p>A message may stay in a socket buffer for as long as its receiver is paused. If the receiver counted the remaining
+ * time from the moment it reads the message, it would act after the sender has given up. This class keeps a lower bound
+ * of the peer's clock: a reading that the peer sent is never ahead of the peer's clock when it arrives, and both clocks
+ * run at the same rate. A deadline that is sent as <em>lower bound plus remaining time</em> is early by the transit
+ * time of the reading, and never late.
  */
 public final class PeerClock {
 
-    /** Age after which the bound is taken anew, as the two clocks run at slightly different paces. */
+    /** Age after which the bound is renewed, because the two clocks drift slightly. */
     private static final long RENEWAL_NANOS = 60_000_000_000L;
 
     private ProcessId process;
@@ -21,7 +21,7 @@
     private long renewedNanos;
 
     /**
-     * Takes a reading of the peer's clock.
+     * Records a reading of the peer's clock.
      *
      * @param from the process that read its clock
      * @param peerNanos the reading
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Tells a local deadline in the clock of the peer.
+     * Translates a local deadline to the clock of the peer.
      *
-     * @param to the process that will read it
+     * @param to the process that will receive it
      * @param deadline the deadline in the local clock
      * @return the deadline in the peer's clock, or {@code null} if no reading of that process is known
      */
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Returns the process whose clock is followed.
+     * Returns the process whose clock is estimated.
      *
      * @return the process, or {@code null} before the first reading
      */
--- a/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
@@ -14,12 +14,9 @@
     private static final long OFFSET = 5_000_000L;
 
     /**
-     * Symptom: a process that wakes late sends what its caller has long given up.
-     *
-     * <p>Sequence of events: readings of the peer's clock arrive after some transit; a deadline is told in that
-     * clock.
-     *
-     * <p>Cause to be excluded: a deadline that is later in the peer's clock than the true one.
+     * Guards against a process that resumes after a pause and still sends a request that its caller has given up.
+     * Readings of the peer's clock arrive after some transit time, and a deadline that is translated with them must
+     * never be later than the true deadline on the peer's clock.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "100, 0", "0, 300", "700, 20", "1000000, 1"})
--- a/apricotstack-core/src/test/java/org/apricotstack/core/time/TestClock.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/time/TestClock.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.time;
 
-/** A clock that stands until it is moved. */
+/** A clock that only moves when it is advanced. */
 public final class TestClock implements MonotonicClock {
 
     private long nanos = 1_000_000_000L;
@@ -10,7 +10,7 @@
         return nanos;
     }
 
-    /** Moves the clock. */
+    /** Advances the clock. */
     public void advanceMillis(long millis) {
         nanos += millis * Deadline.NANOS_PER_MILLI;
     }
