--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentSet.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentSet.java
@@ -23,15 +23,18 @@
     private final long version;
     private final SortedMap<String, Document> documents;
     private final Map<String, Long> removals;
-    private final long removalsKnownSince;
+    private final long removalsCompleteSince;
 
     /** Creates a version; the maps are not copied. */
     private DocumentSet(
-            long version, SortedMap<String, Document> documents, Map<String, Long> removals, long removalsKnownSince) {
+            long version,
+            SortedMap<String, Document> documents,
+            Map<String, Long> removals,
+            long removalsCompleteSince) {
         this.version = version;
         this.documents = documents;
         this.removals = removals;
-        this.removalsKnownSince = removalsKnownSince;
+        this.removalsCompleteSince = removalsCompleteSince;
     }
 
     /**
@@ -61,33 +64,33 @@
     public DocumentSet with(DocumentDelta delta) {
         SortedMap<String, Document> next = delta.full() ? new TreeMap<>() : new TreeMap<>(documents);
         for (Document document : delta.changed()) {
-            next.merge(document.key(), document, (old, fresh) -> fresh.version() >= old.version() ? fresh : old);
+            next.merge(document.key(), document, (old, newer) -> newer.version() >= old.version() ? newer : old);
         }
         if (delta.full()) {
             return new DocumentSet(delta.to(), next, Map.of(), delta.to());
         }
         Map<String, Long> nextRemovals = new HashMap<>(removals);
-        delta.removed().forEach((key, at) -> {
+        delta.removed().forEach((key, removedVersion) -> {
             Document kept = next.get(key);
-            if (kept == null || kept.version() < at) {
+            if (kept == null || kept.version() < removedVersion) {
                 next.remove(key);
-                nextRemovals.merge(key, at, Math::max);
+                nextRemovals.merge(key, removedVersion, Math::max);
             }
         });
-        long knownSince = forgetOldRemovals(nextRemovals);
-        return new DocumentSet(delta.to(), next, nextRemovals, knownSince);
+        long completeSince = dropOldRemovals(nextRemovals);
+        return new DocumentSet(delta.to(), next, nextRemovals, completeSince);
     }
 
     /** Drops the oldest removals over the bound and returns the version since which all are known. */
-    private long forgetOldRemovals(Map<String, Long> nextRemovals) {
+    private long dropOldRemovals(Map<String, Long> nextRemovals) {
         if (nextRemovals.size() <= MAX_REMOVALS) {
-            return removalsKnownSince;
+            return removalsCompleteSince;
         }
         List<Long> versions = new ArrayList<>(nextRemovals.values());
         Collections.sort(versions);
-        long forgottenTo = versions.get(versions.size() - MAX_REMOVALS / 2);
-        nextRemovals.values().removeIf(at -> at <= forgottenTo);
-        return Math.max(removalsKnownSince, forgottenTo);
+        long droppedVersion = versions.get(versions.size() - MAX_REMOVALS / 2);
+        nextRemovals.values().removeIf(removedVersion -> removedVersion <= droppedVersion);
+        return Math.max(removalsCompleteSince, droppedVersion);
     }
 
     /**
@@ -97,15 +100,15 @@
      * @return the delta; the whole set if the changes since then are not known one by one
      */
     public DocumentDelta since(long since) {
-        if (since < removalsKnownSince || since == 0) {
+        if (since < removalsCompleteSince || since == 0) {
             return new DocumentDelta(0, version, true, List.copyOf(documents.values()), Map.of());
         }
         List<Document> changed =
                 documents.values().stream().filter(d -> d.version() > since).toList();
         Map<String, Long> removed = new TreeMap<>();
-        removals.forEach((key, at) -> {
-            if (at > since) {
-                removed.put(key, at);
+        removals.forEach((key, removedVersion) -> {
+            if (removedVersion > since) {
+                removed.put(key, removedVersion);
             }
         });
         return new DocumentDelta(since, version, false, changed, removed);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/StartGate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/StartGate.java
@@ -10,9 +10,9 @@
  */
 public final class StartGate {
 
-    private long highestHeard;
-    private boolean servingPeerHeard;
-    private boolean waitIsOver;
+    private long highestPeerVersion;
+    private boolean servingPeerSeen;
+    private boolean waitEnded;
     private boolean open;
 
     /**
@@ -21,13 +21,13 @@
      * @param version its version
      */
     public synchronized void recordServingPeer(long version) {
-        servingPeerHeard = true;
-        highestHeard = Math.max(highestHeard, version);
+        servingPeerSeen = true;
+        highestPeerVersion = Math.max(highestPeerVersion, version);
     }
 
     /** Notes that the time for peers to answer is over. */
     public synchronized void endWait() {
-        waitIsOver = true;
+        waitEnded = true;
     }
 
     /**
@@ -38,8 +38,8 @@
      */
     public synchronized boolean isOpen(long versionInForce) {
         if (!open) {
-            boolean reached = versionInForce > 0 && versionInForce >= highestHeard;
-            open = reached && (servingPeerHeard || waitIsOver);
+            boolean reached = versionInForce > 0 && versionInForce >= highestPeerVersion;
+            open = reached && (servingPeerSeen || waitEnded);
         }
         return open;
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentReplicaTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentReplicaTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void takesOnlyWhatIsNewerWholeAndValid() {
+    void adoptsOnlyNewerCompleteAndValidVersions() {
         assertThat(replica.offer(delta(0, 3, "a"))).isEqualTo(ApplyResult.ADOPTED);
         assertThat(replica.offer(delta(0, 2, "old"))).isEqualTo(ApplyResult.STALE);
         assertThat(replica.offer(delta(0, 3, "same"))).isEqualTo(ApplyResult.STALE);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentSetTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentSetTest.java
@@ -33,7 +33,7 @@
 
     /** However a replica gets its deltas, at the same version it holds the same documents. */
     @Property(tries = 500, seed = "42")
-    void holdsTheSameDocumentsByAnyWay(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    void documentsDoNotDependOnTheSequenceOfDeltas(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         Random random = new Random(seed);
         List<DocumentSet> history = history(random, 40);
         DocumentSet replica = DocumentSet.EMPTY;
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void handsOutTheWholeSetWhenRemovalsWereForgotten() {
+    void returnsTheCompleteSetAfterRemovalsWereDropped() {
         DocumentSet set = DocumentSet.EMPTY;
         for (long version = 1; version <= 4_000; version++) {
             boolean even = version % 2 == 0;
