--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/ApplyResult.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/ApplyResult.java
@@ -1,13 +1,13 @@
 package org.apricotstack.core.replication;
 
-/** What became of a delta that was offered to a replica. */
+/** The result of offering a delta to a replica. */
 public enum ApplyResult {
-    /** The version is in force now. */
+    /** The version is now in force. */
     ADOPTED,
-    /** The version is not newer than the one in force, and was dropped. */
+    /** The version is not newer than the one in force and was ignored. */
     STALE,
-    /** The delta starts after the version in force; changes between are missing. */
+    /** The delta starts after the version in force; the changes between are missing. */
     GAP,
-    /** The version is invalid; the last good one stays in force. */
+    /** The version is invalid; the last valid one stays in force. */
     REJECTED
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentReplica.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentReplica.java
@@ -5,10 +5,10 @@
 import org.apricotstack.core.configuration.Problem;
 
 /**
- * One process's copy of a document set: the newest valid version that it was offered.
+ * The copy of a document set in one process: the newest valid version that it was offered.
  *
- * <p>The version in force only grows. A stale platform, or a peer that wakes with an old version, can therefore offer
- * what it likes without any effect; this is what keeps an accepted configuration from reverting.
+ * <p>The version in force only increases. Offers of a stale platform, or of a peer that resumes with an old version,
+ * therefore have no effect, and an accepted configuration never reverts.
  *
  * @param <T> the type of the value that the documents describe
  */
@@ -32,7 +32,7 @@
      * Offers a delta from the platform or a peer.
      *
      * @param delta the delta
-     * @return what became of it
+     * @return the result
      */
     public synchronized ApplyResult offer(DocumentDelta delta) {
         DocumentSet current = state.documents;
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Tells what changed since a version.
+     * Returns the changes since a version.
      *
-     * @param since the version that the asker has
+     * @param since the version that the receiver has
      * @return the delta up to the version in force
      */
     public DocumentDelta since(long since) {
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Returns the newest version that was turned down.
+     * Returns the latest rejected version.
      *
      * @return the rejection, or {@code null}
      */
@@ -90,15 +90,15 @@
     }
 
     /**
-     * A version that was turned down.
+     * A rejected version.
      *
      * @param version the version
-     * @param problems why
+     * @param problems the reasons
      */
     public record Rejection(long version, List<Problem> problems) {}
 
     /**
-     * Documents and value that belong together.
+     * Documents with the value that they describe.
      *
      * @param documents the documents
      * @param value what they describe
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentSet.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentSet.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * An immutable version of a set of documents, with a bounded memory of removals, so that it can tell what changed
- * since an earlier version.
+ * An immutable version of a set of documents. It records a bounded number of removals, so that it can compute the
+ * changes since an earlier version.
  */
 public final class DocumentSet {
 
     /** The set before anything was published. */
     public static final DocumentSet EMPTY = new DocumentSet(0, new TreeMap<>(), Map.of(), 0);
 
-    /** Removals that are remembered; older ones make a full transfer necessary. */
+    /** Maximum number of recorded removals; a receiver that lacks older ones needs a full transfer. */
     private static final int MAX_REMOVALS = 1_000;
 
     private final long version;
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the documents by name.
+     * Returns the documents by key.
      *
      * @return an unmodifiable view
      */
@@ -81,7 +81,7 @@
         return new DocumentSet(delta.to(), next, nextRemovals, completeSince);
     }
 
-    /** Drops the oldest removals over the bound and returns the version since which all are known. */
+    /** Drops the oldest removals beyond the limit and returns the version since which all removals are recorded. */
     private long dropOldRemovals(Map<String, Long> nextRemovals) {
         if (nextRemovals.size() <= MAX_REMOVALS) {
             return removalsCompleteSince;
@@ -94,10 +94,10 @@
     }
 
     /**
-     * Tells what changed since a version.
+     * Returns the changes since a version.
      *
      * @param since the version that the receiver has
-     * @return the delta; the whole set if the changes since then are not known one by one
+     * @return the delta; the complete set if the individual changes since then are not recorded
      */
     public DocumentDelta since(long since) {
         if (since < removalsCompleteSince || since == 0) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentValidator.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/DocumentValidator.java
@@ -1,7 +1,7 @@
 package org.apricotstack.core.replication;
 
 /**
- * Turns a version of a document set into the value that it describes. The result depends on the documents alone.
+ * Converts a version of a document set to the value that it describes. The result depends only on the documents.
  *
  * @param <T> the type of the value
  */
@@ -12,7 +12,7 @@
      * Validates one version.
      *
      * @param documents the documents
-     * @return the value, or the problems that forbid it
+     * @return the value, or the problems that make it invalid
      */
     Validated<T> validate(DocumentSet documents);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/FetchPlanner.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/FetchPlanner.java
@@ -3,10 +3,10 @@
 import org.apricotstack.core.id.HostId;
 
 /**
- * Decides from which peer to fetch a newer version: one fetch at a time, from a peer that told a higher version.
+ * Decides from which peer to fetch a newer version: one fetch at a time, from a peer that reported a higher version.
  *
- * <p>Without the bound, a host that is told of a new version by eight peers at once would fetch it eight times. A
- * fetch that fails is forgotten, and the next digest of any peer starts another.
+ * <p>Without this limit, a host to which eight peers report a new version at the same time would fetch it eight times.
+ * A failed fetch is dropped, and the next digest of any peer starts another.
  */
 public final class FetchPlanner {
 
@@ -15,7 +15,7 @@
     private long bestVersion;
 
     /**
-     * Notes the version that a peer told.
+     * Records the version that a peer reported.
      *
      * @param peer the peer
      * @param peerVersion its version
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Notes the end of a fetch.
+     * Records the end of a fetch.
      *
      * @param peer the peer that was asked
      * @param succeeded whether it answered
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/PlatformDocuments.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/PlatformDocuments.java
@@ -4,7 +4,7 @@
 
 import reactor.core.publisher.Mono;
 
-/** Port: the platform's documents, which can be read and watched, and not written. */
+/** Port: read access to the platform's documents, and a watch for changes. */
 @FunctionalInterface
 public interface PlatformDocuments {
 
@@ -12,9 +12,9 @@
      * Waits for changes.
      *
      * @param topic the document set
-     * @param since version from which the changes are wanted
-     * @param beyond answers as soon as there is a version after this one
-     * @param wait how long to wait at most
+     * @param since version since which changes are requested
+     * @param beyond the watch answers as soon as there is a version after this one
+     * @param wait maximum time to wait
      * @return the changes, or empty if there were none in that time
      */
     Mono<DocumentDelta> changes(ReplicationTopic topic, long since, long beyond, Duration wait);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/ReplicationTopic.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/ReplicationTopic.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.replication;
 
-/** The document sets that spread between routers. */
+/** The document sets that are replicated between routers. */
 public enum ReplicationTopic {
     /** The fleet configuration. */
     CONFIGURATION,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/StartGate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/StartGate.java
@@ -1,12 +1,13 @@
 package org.apricotstack.core.replication;
 
 /**
- * Decides when a process that started with an empty memory may serve under the configuration that it has.
+ * Decides when a newly started process may serve with the configuration that it has.
  *
- * <p>A platform may be stale. If a fresh process took the first version that the platform hands out, requests would
- * meet a configuration that the rest of the fleet left behind long ago: an accepted change would revert at this
- * host. The gate stays shut until a peer that serves has told its version and the process has reached it. If no
- * peer serves, as when all hosts start at once, it opens after a time in which all known peers were asked.
+ * <p>The platform may be stale. If a new process used the first version from the platform, requests might be handled
+ * with a configuration that the rest of the fleet has replaced long ago: an accepted change would revert on this host.
+ * The gate stays closed until a serving peer has reported its version and the process has reached that version. If no
+ * peer serves, as when all hosts start at the same time, the gate opens after a time in which all known peers were
+ * asked.
  */
 public final class StartGate {
 
@@ -16,7 +17,7 @@
     private boolean open;
 
     /**
-     * Notes the version of a peer that serves.
+     * Records the version of a serving peer.
      *
      * @param version its version
      */
@@ -25,7 +26,7 @@
         highestPeerVersion = Math.max(highestPeerVersion, version);
     }
 
-    /** Notes that the time for peers to answer is over. */
+    /** Records that the time for peers to answer has ended. */
     public synchronized void endWait() {
         waitEnded = true;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/replication/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/replication/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Versioned document sets that spread between routers, where the highest valid version wins.
- */
+/** Versioned document sets that are replicated between routers; the highest valid version wins. */
 package org.apricotstack.core.replication;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentSetTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/replication/DocumentSetTest.java
@@ -16,7 +16,7 @@
 
     private static final int KEYS = 6;
 
-    /** Publishes some random versions and returns all of them. */
+    /** Generates successive random versions and returns all of them. */
     private static List<DocumentSet> history(Random random, int versions) {
         List<DocumentSet> history = new ArrayList<>(List.of(DocumentSet.EMPTY));
         for (int i = 0; i < versions; i++) {
@@ -31,7 +31,7 @@
         return history;
     }
 
-    /** However a replica gets its deltas, at the same version it holds the same documents. */
+    /** Whichever deltas a replica receives, it holds the same documents at the same version. */
     @Property(tries = 500, seed = "42")
     void documentsDoNotDependOnTheSequenceOfDeltas(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         Random random = new Random(seed);
