--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
@@ -22,7 +22,7 @@
     private final Map<String, ClientAccount> accountsByKeyDigest = new HashMap<>();
     private final Map<GroupId, List<Upstream>> upstreamsByGroup = new HashMap<>();
     private final Map<TargetKey, List<Group>> groupsByTarget = new HashMap<>();
-    private final Map<TargetKey, Map<DataCentreId, List<Group>>> groupsByPlace = new HashMap<>();
+    private final Map<TargetKey, Map<DataCentreId, List<Group>>> groupsByDataCentre = new HashMap<>();
     private final Map<GroupId, Long> memoryByGroup = new HashMap<>();
 
     /**
@@ -47,7 +47,7 @@
         for (Group group : parts.groups().values()) {
             TargetKey target = new TargetKey(group.kind(), group.target());
             groupsByTarget.computeIfAbsent(target, key -> new ArrayList<>()).add(group);
-            groupsByPlace
+            groupsByDataCentre
                     .computeIfAbsent(target, key -> new HashMap<>())
                     .computeIfAbsent(group.dataCentre(), key -> new ArrayList<>())
                     .add(group);
@@ -188,7 +188,7 @@
      * @return the groups, in the order of their names
      */
     public List<Group> groups(Service service, DataCentreId dataCentre) {
-        return groupsByPlace
+        return groupsByDataCentre
                 .getOrDefault(new TargetKey(service.kind(), service.target()), Map.of())
                 .getOrDefault(dataCentre, List.of());
     }
