--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ClientAccount.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ClientAccount.java
@@ -9,12 +9,12 @@
 /**
  * A client account with its credentials and limits.
  *
- * @param id the name
+ * @param id its id
  * @param keyDigests SHA-256 digests of the keys, in lower-case hexadecimal; keys themselves are not published
  * @param services the services that it may use
- * @param tokensPerSecond prompt and answer tokens that it may spend a second over the whole fleet
- * @param burstTokens tokens that it may spend at once over the whole fleet
- * @param maxConcurrent requests that it may have running over the whole fleet
+ * @param tokensPerSecond rate limit in prompt and answer tokens per second over the whole fleet
+ * @param burstTokens burst size of the rate limit, in tokens over the whole fleet
+ * @param maxConcurrent maximum number of running requests over the whole fleet
  */
 public record ClientAccount(
         ClientAccountId id,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ConfigurationCheck.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ConfigurationCheck.java
@@ -10,9 +10,9 @@
 import org.apricotstack.core.id.ServiceId;
 
 /**
- * Checks that the documents of a configuration fit together.
+ * Checks that the documents of a configuration are consistent with each other.
  *
- * <p>The check is a function of the documents alone, so that all routers accept or all refuse the same version.
+ * <p>The check depends only on the documents, so that either all routers accept a version or all reject it.
  */
 public final class ConfigurationCheck {
 
@@ -21,8 +21,8 @@
     /**
      * Checks the parts of one version.
      *
-     * @param parts the parts, each well formed by itself
-     * @return all problems, empty if the version may be taken into force
+     * @param parts the parts, each of which is valid by itself
+     * @return all problems, empty if the version may be put into force
      */
     public static List<Problem> check(ConfigurationParts parts) {
         ConfigurationCheck check = new ConfigurationCheck();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Accounts name known services, and no key opens two accounts. */
+    /** Accounts refer to known services, and no key belongs to two accounts. */
     private void checkAccounts(ConfigurationParts parts) {
         Map<String, ClientAccountId> owners = new HashMap<>();
         for (ClientAccount account : parts.accounts().values()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Completions name a known model, and default time limits keep to the longest. */
+    /** Completion services refer to a known model, and default time limits do not exceed the maximum. */
     private void checkServices(ConfigurationParts parts) {
         for (Service service : parts.services().values()) {
             String source = "services/" + service.id();
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Groups of completions name a known model. */
+    /** Completion groups refer to a known model. */
     private void checkGroups(ConfigurationParts parts) {
         for (Group group : parts.groups().values()) {
             boolean completion = group.kind() == ServiceKind.COMPLETION;
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Upstreams name a known group, and engines have memory. */
+    /** Upstreams refer to a known group, and engines have memory. */
     private void checkUpstreams(ConfigurationParts parts) {
         for (Upstream upstream : parts.upstreams().values()) {
             String source = "upstreams/" + upstream.id();
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The borders of the length classes are in order. */
+    /** The bounds of the length classes are in ascending order. */
     private void checkLimits(FleetLimits limits) {
         if (limits.shortTokens() >= limits.longTokens()) {
             problem("fleet/limits", "shortTokens", "" + limits.shortTokens(), "less than longTokens");
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ConfigurationParts.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ConfigurationParts.java
@@ -12,13 +12,13 @@
 /**
  * The typed documents of one version of the configuration.
  *
- * @param accounts client accounts by name
- * @param services services by name
- * @param models models by name
- * @param groups groups by name
- * @param upstreams upstreams by name
- * @param presets presets by name
- * @param presetInForce the name of the one preset in force
+ * @param accounts client accounts by id
+ * @param services services by id
+ * @param models models by id
+ * @param groups groups by id
+ * @param upstreams upstreams by id
+ * @param presets presets by id
+ * @param presetInForce the id of the one preset in force
  * @param limits limits of the whole fleet
  */
 public record ConfigurationParts(
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
@@ -26,9 +26,9 @@
     private final Map<GroupId, Long> memoryByGroup = new HashMap<>();
 
     /**
-     * Creates a configuration from parts that {@link ConfigurationCheck} found no problem in.
+     * Creates a configuration from parts that passed {@link ConfigurationCheck}.
      *
-     * @param version the version, from the platform
+     * @param version the version assigned by the platform
      * @param parts the parts
      */
     public FleetConfiguration(long version, ConfigurationParts parts) {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the parts as they were published.
+     * Returns the published parts.
      *
      * @return the parts
      */
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Finds the client account that a key belongs to. The look-up works on digests, so that its time tells nothing
+     * Finds the client account that a key belongs to. The lookup uses digests, so that its duration reveals nothing
      * about a key.
      *
      * @param keyDigest SHA-256 digest of the key, lower-case hexadecimal
@@ -194,7 +194,7 @@
     }
 
     /**
-     * Returns the memory of all engines of a group together.
+     * Returns the total memory of all engines of a group.
      *
      * @param id the group
      * @return tokens
@@ -204,7 +204,7 @@
     }
 
     /**
-     * What a group serves.
+     * The key of the target that a group serves.
      *
      * @param kind the kind
      * @param target the model or plain service
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetLimits.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetLimits.java
@@ -1,19 +1,19 @@
 package org.apricotstack.core.configuration;
 
 /**
- * Limits and times that hold for the whole fleet.
+ * Limits and times that apply to the whole fleet.
  *
- * @param shortTokens longest prompt of class {@link LengthClass#SHORT}, in tokens
+ * @param shortTokens maximum length of a prompt of class {@link LengthClass#SHORT}, in tokens
  * @param longTokens prompts longer than this are of class {@link LengthClass#LONG}, in tokens
- * @param maxBodyBytes longest body of a request, in bytes
- * @param maxAnswerTokens longest answer that may be asked for, in tokens
- * @param entryKeepMillis how long callers may keep an entry answer, in milliseconds
- * @param ticketValidMillis how long a ticket may be spent, in milliseconds
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param maxAnswerTokens maximum length of an answer that may be requested, in tokens
+ * @param entryKeepMillis time for which callers may cache the addresses of entry routers, in milliseconds
+ * @param ticketValidMillis time for which a ticket may be spent, in milliseconds
  * @param heartbeatMillis time between heartbeats inside streams, in milliseconds
- * @param maxQueuedItems requests that one group may hold in its queue
- * @param maxQueuedTokens prompt tokens that one group may hold in its queue
- * @param maxAttempts attempts that one request may take
- * @param retryShare retries as a share of first attempts, 0 to 1
+ * @param maxQueuedItems maximum number of queued requests of a group
+ * @param maxQueuedTokens maximum number of queued prompt tokens of a group
+ * @param maxAttempts maximum number of attempts of a request
+ * @param retryShare retry budget as a share of first attempts, 0 to 1
  */
 public record FleetLimits(
         long shortTokens,
@@ -28,11 +28,11 @@
         int maxAttempts,
         double retryShare) {
 
-    /** Limits that hold where the configuration states none. */
+    /** Limits that apply if the configuration contains none. */
     public static final FleetLimits DEFAULT =
             new FleetLimits(4_000, 100_000, 16L << 20, 16_384, 15_000, 120_000, 500, 2_000, 20_000_000, 4, 0.2);
 
-    /** A stream is taken for lost after this many heartbeat intervals without any event. */
+    /** Number of heartbeat intervals without any event after which a stream counts as lost. */
     private static final int SILENT_HEARTBEATS = 4;
 
     /**
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns after which time without an event a stream is taken for lost.
+     * Returns the time without an event after which a stream counts as lost.
      *
      * @return the time in milliseconds
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Model.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Model.java
@@ -5,12 +5,12 @@
 import org.apricotstack.core.id.ModelId;
 
 /**
- * A model as engines are ordered to load it.
+ * A model that engines can be ordered to load.
  *
- * @param id the name
+ * @param id its id
  * @param revision the revision of its weights
- * @param adapters adapters to load beside it
- * @param deterministic whether two engines give the same answer to the same request, so that an answer that was cut
- *     can be continued by another engine
+ * @param adapters adapters to load with it
+ * @param deterministic whether two engines give the same answer to the same request, so that another engine can
+ *     continue an incomplete answer
  */
 public record Model(ModelId id, String revision, List<String> adapters, boolean deterministic) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Preset.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Preset.java
@@ -3,19 +3,19 @@
 import org.apricotstack.core.id.PresetId;
 
 /**
- * Operating weights; exactly one preset is in force.
+ * A set of scheduling weights and load-shedding limits; exactly one preset is in force.
  *
- * @param id the name
- * @param slowdownWeight 0 to 1: how much the order of the queue weighs the slowdown of short prompts against the time
- *     to first token over all lengths
- * @param shortShare 0 to 1: the share of each engine's memory that only short prompts may use while any are waiting
- * @param shedFromPriority services of this priority and less urgent ones are turned away; 10 turns none away
+ * @param id its id
+ * @param slowdownWeight 0 to 1: weight in the queue order of the slowdown of short prompts against the time to first
+ *     token over all lengths
+ * @param shortShare 0 to 1: share of each engine's memory that is reserved for short prompts while any are waiting
+ * @param shedFromPriority services of this priority and less urgent ones are shed; 10 sheds none
  * @param limitFactor factor on the token rates of all client accounts
  */
 public record Preset(PresetId id, double slowdownWeight, double shortShare, int shedFromPriority, double limitFactor) {
 
     /**
-     * Tells whether a service is turned away.
+     * Tells whether a service is shed.
      *
      * @param service the service
      * @return whether its priority is shed
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Problem.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Problem.java
@@ -1,12 +1,12 @@
 package org.apricotstack.core.configuration;
 
 /**
- * One problem in settings, in a configuration or in a trace.
+ * A problem in settings, in a configuration or in a trace.
  *
  * @param source the file or document
- * @param path where in it, such as {@code limits.heartbeatMillis}
- * @param found what was found
- * @param allowed what is allowed there
+ * @param path the field in it, such as {@code limits.heartbeatMillis}
+ * @param found the invalid value
+ * @param allowed the allowed values
  */
 public record Problem(String source, String path, String found, String allowed) {
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ServiceKind.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/ServiceKind.java
@@ -1,8 +1,8 @@
 package org.apricotstack.core.configuration;
 
-/** What stands behind a service. */
+/** The kind of upstreams of a service. */
 public enum ServiceKind {
-    /** Model engines that complete prompts. */
+    /** Engines that run a model to complete prompts. */
     COMPLETION,
     /** Replicas of a plain HTTP service. */
     PLAIN
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Upstream.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/Upstream.java
@@ -5,16 +5,16 @@
 import org.apricotstack.core.id.UpstreamId;
 
 /**
- * Published facts about one upstream.
+ * The published description of an upstream.
  *
- * @param id the name
+ * @param id its id
  * @param group the group that it belongs to
- * @param address where it listens
+ * @param address the address it listens on
  * @param memoryTokens KV memory in tokens; 0 for plain services
- * @param maxStreams requests that it runs at once
- * @param checksOrders whether it checks who gives it an order
- * @param refusesOldFencing whether it refuses an order with an older fencing number than it has seen
- * @param role the role that it is ordered to play, such as {@code mixed}; empty for plain services
+ * @param maxStreams maximum number of requests that it runs concurrently
+ * @param checksOrders whether it verifies the sender of orders
+ * @param refusesOldFencing whether it refuses an order with a lower fencing token than it has seen
+ * @param role the role that it is ordered to take, such as {@code mixed}; empty for plain services
  */
 public record Upstream(
         UpstreamId id,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The fleet configuration as typed, immutable values, and its validation.
- */
+/** The fleet configuration as typed, immutable values, and its validation. */
 package org.apricotstack.core.configuration;
