--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/Route.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/Route.java
@@ -57,18 +57,18 @@
      * @return the service
      */
     public ServiceId serviceFor(String requestId) {
-        int total = services.stream().mapToInt(WeightedService::weight).sum();
-        if (services.size() == 1 || total <= 0) {
+        int totalWeight = services.stream().mapToInt(WeightedService::weight).sum();
+        if (services.size() == 1 || totalWeight <= 0) {
             return services.get(0).service();
         }
-        int draw = Math.floorMod(
+        int remaining = Math.floorMod(
                 Hashing.murmur3_32_fixed()
                         .hashString(requestId, StandardCharsets.UTF_8)
                         .asInt(),
-                total);
+                totalWeight);
         for (WeightedService candidate : services) {
-            draw -= candidate.weight();
-            if (draw < 0) {
+            remaining -= candidate.weight();
+            if (remaining < 0) {
                 return candidate.service();
             }
         }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/route/RouteTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/route/RouteTableTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void splitsByWeightAndKeepsToItForOneRequest() {
+    void splitsByWeightAndIsStablePerRequest() {
         Route split = route("/s/", weighted("most", 90), weighted("few", 10), weighted("none", 0));
         int few = 0;
         for (int i = 0; i < 2_000; i++) {
