--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/AccountKeys.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/AccountKeys.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * The client accounts by the keys that they hold.
+ * The client accounts by API key.
  *
  * @param byKey the account of each key; empty if no request needs a key
  */
@@ -15,19 +15,19 @@
     }
 
     /**
-     * Tells whether requests need a key at all.
+     * Tells whether requests need a key.
      *
-     * @return whether any account is configured
+     * @return whether any account has a key
      */
     public boolean required() {
         return !byKey.isEmpty();
     }
 
     /**
-     * Finds the account that holds a key.
+     * Finds the account of a key.
      *
      * @param key the key, or {@code null}
-     * @return the account, or {@code null} if no account holds the key
+     * @return the account, or {@code null} if no account has the key
      */
     public KeyedAccount holder(String key) {
         return key == null ? null : byKey.get(key);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/CallerLimits.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/CallerLimits.java
@@ -1,15 +1,15 @@
 package org.apricotstack.core.route;
 
 /**
- * Bounds what a caller may send and how long it may take.
+ * Limits on the size and duration of what a caller sends.
  *
- * @param headerBytes longest request line and headers, in bytes
- * @param bodyBytes longest body, in bytes
- * @param headerTimeoutMillis time that a caller may take for the headers, in milliseconds
- * @param idleTimeoutMillis time that a connection may stay without a request, in milliseconds
+ * @param headerBytes maximum size of the request line and headers, in bytes
+ * @param bodyBytes maximum size of the body, in bytes
+ * @param headerTimeoutMillis time-out for receiving the headers, in milliseconds
+ * @param idleTimeoutMillis time-out of a connection without a request, in milliseconds
  */
 public record CallerLimits(int headerBytes, int bodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
-    /** In force until a configuration says otherwise. */
+    /** Defaults, in force until a configuration replaces them. */
     public static final CallerLimits DEFAULT = new CallerLimits(16 * 1024, 4 * 1024 * 1024, 3_000, 15_000);
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/KeyedAccount.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/KeyedAccount.java
@@ -3,9 +3,10 @@
 import org.apricotstack.core.id.ClientAccountId;
 
 /**
- * A client account as requests see it.
+ * A client account that was identified by its key.
  *
  * @param id the account
- * @param priority rank of its requests, which goes before their route's; 0 is the most urgent, negative if it has none
+ * @param priority priority of its requests, which takes precedence over that of the route; 0 is the most urgent,
+ *     negative if none is configured
  */
 public record KeyedAccount(ClientAccountId id, int priority) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/RequestKind.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/RequestKind.java
@@ -1,11 +1,11 @@
 package org.apricotstack.core.route;
 
-/** Says how the answer to a request looks and whether the request may be run again. */
+/** The form of the answer to a request, and whether the request may be retried. */
 public enum RequestKind {
-    /** One answer; the request may run more than once. */
+    /** A single answer; the request may run more than once. */
     SAFE,
-    /** One answer; the request may run at most once. */
+    /** A single answer; the request may run at most once. */
     UNSAFE,
-    /** A series of events; the request may run again only if its route allows that it is resumed. */
+    /** A stream of events; the request may run again only if its route allows resuming. */
     STREAMING
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/Route.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/Route.java
@@ -7,20 +7,20 @@
 import org.apricotstack.core.id.ServiceId;
 
 /**
- * Says what is done with the requests of one host name below one path.
+ * The handling of the requests for one host name and path prefix.
  *
- * @param name names the route in logs
+ * @param name name of the route in logs
  * @param host host name of the requests
- * @param prefix beginning of their paths; starts and ends with a slash
- * @param kind how they are answered and whether they may run again
- * @param timeoutMillis longest time that a request may be kept waiting, in milliseconds
+ * @param prefix prefix of their paths; starts and ends with a slash
+ * @param kind form of the answers, and whether requests may be retried
+ * @param timeoutMillis maximum time for which a request may wait, in milliseconds
  * @param targetLatencyMillis time within which an answer, or the first event of a stream, is on time, in milliseconds
- * @param priority rank of the requests; 0 is the most urgent
+ * @param priority priority of the requests; 0 is the most urgent
  * @param services the services that may run them; at least one
- * @param maxAttempts upstreams that one request may be sent to at the most
+ * @param maxAttempts maximum number of upstreams that one request may be sent to
  * @param anonymous whether requests need no key
- * @param resumable whether a stream may go on at another upstream
- * @param tokenGapTargetMillis longest pause between two events of a stream that is on time, in milliseconds; 0 if none
+ * @param resumable whether a stream may be resumed on another upstream
+ * @param tokenGapTargetMillis maximum gap between two events of a stream that is on time, in milliseconds; 0 if none
  */
 public record Route(
         String name,
@@ -42,18 +42,18 @@
     }
 
     /**
-     * Tells whether a request may run again after an earlier run of it.
+     * Tells whether a request may run again after an earlier run.
      *
-     * @return whether a second run does no harm
+     * @return whether a second run is harmless
      */
     public boolean idempotent() {
         return kind == RequestKind.SAFE || kind == RequestKind.STREAMING && resumable;
     }
 
     /**
-     * Chooses the service of one request by the weights of the split.
+     * Chooses the service of a request by the weights of the traffic split.
      *
-     * @param requestId the request's id; the same id is always given the same service
+     * @param requestId the request's id; the same id always maps to the same service
      * @return the service
      */
     public ServiceId serviceFor(String requestId) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/RouteTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/RouteTable.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Finds the route of a request: of its host name, the one with the longest prefix that begins the path. */
+/** Finds the route of a request by its host name and the longest matching path prefix. */
 public final class RouteTable {
 
     private final Map<String, Map<String, Route>> byHost = new HashMap<>();
@@ -45,7 +45,7 @@
         return null;
     }
 
-    /** Cuts the port off a host name. */
+    /** Removes the port from a host name. */
     private static String withoutPort(String host) {
         int colon = host.lastIndexOf(':');
         return colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/ServiceProfile.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/ServiceProfile.java
@@ -9,7 +9,7 @@
  * A service that requests are sent to.
  *
  * @param id the service
- * @param maxConnections connections that one of its upstreams takes from all callers
- * @param engine figures of its engines; empty for a plain service
+ * @param maxConnections maximum number of connections of each of its upstreams
+ * @param engine performance profile of its engines; empty for a plain service
  */
 public record ServiceProfile(ServiceId id, int maxConnections, Optional<EngineProfile> engine) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/ServingConfiguration.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/ServingConfiguration.java
@@ -5,12 +5,12 @@
 import org.apricotstack.core.id.ServiceId;
 
 /**
- * One published version of everything that operators decide about requests.
+ * One published version of the routes, services, limits and accounts.
  *
- * @param version its version; grows with each publication
+ * @param version its version, which increases with each publication
  * @param routes the routes
  * @param services the services by id
- * @param limits what callers may send
+ * @param limits limits on what callers send
  * @param accounts the client accounts by key
  */
 public record ServingConfiguration(
--- a/apricotstack-core/src/main/java/org/apricotstack/core/route/package-info.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** Decides from a published configuration which service a request goes to, and what may be done with it. */
+/** Determines the route and the service of a request from the published configuration. */
 package org.apricotstack.core.route;
