--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusedException.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusedException.java
@@ -21,11 +21,11 @@
      * Returns the refusal of any error.
      *
      * @param error the error of a flow
-     * @param otherwise the refusal for an error that carries none
+     * @param defaultRefusal the refusal for an error that carries none
      * @return the carried refusal, or {@code otherwise}
      */
-    public static Refusal refusalOf(Throwable error, Refusal otherwise) {
-        return error instanceof RefusedException refused ? refused.refusal : otherwise;
+    public static Refusal refusalOf(Throwable error, Refusal defaultRefusal) {
+        return error instanceof RefusedException refused ? refused.refusal : defaultRefusal;
     }
 
     /**
