--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/ApricotException.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/ApricotException.java
@@ -1,6 +1,6 @@
 package org.apricotstack.core.failure;
 
-/** Reports an error that is not the answer to a request; the message names the remedy. */
+/** An error that is not the answer to a request; the message states the remedy. */
 public class ApricotException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -11,7 +11,7 @@
      * Creates an error.
      *
      * @param code the kind
-     * @param message what is wrong and what to do about it
+     * @param message the problem and its remedy
      */
     public ApricotException(ErrorCode code, String message) {
         this(code, message, null);
@@ -21,8 +21,8 @@
      * Creates an error with a cause.
      *
      * @param code the kind
-     * @param message what is wrong and what to do about it
-     * @param cause what led to it, or {@code null}
+     * @param message the problem and its remedy
+     * @param cause the cause, or {@code null}
      */
     public ApricotException(ErrorCode code, String message, Throwable cause) {
         super(message, cause);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/ErrorCode.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/ErrorCode.java
@@ -1,19 +1,19 @@
 package org.apricotstack.core.failure;
 
-/** Kinds of errors that are not answers to requests: mistakes of operators, of peers or of this program. */
+/** Kinds of errors that are not answers to requests: errors of operators, of peers or of this program. */
 public enum ErrorCode {
-    /** A name has a form that is not allowed. */
+    /** A name is malformed. */
     INVALID_NAME,
-    /** The settings of a process cannot be used. */
+    /** The settings of a process are invalid. */
     INVALID_SETTINGS,
-    /** A published configuration cannot be used. */
+    /** A published configuration is invalid. */
     INVALID_CONFIGURATION,
-    /** A line of a trace cannot be used. */
+    /** A line of a trace is invalid. */
     INVALID_TRACE,
-    /** The platform did not answer as its protocol says. */
+    /** The platform violated its protocol. */
     PLATFORM_PROTOCOL,
-    /** A peer did not answer as the protocol between routers says. */
+    /** A peer violated the protocol between routers. */
     PEER_PROTOCOL,
-    /** An address is in use, a file cannot be read, or another fault of the machine. */
+    /** An address is in use, a file cannot be read, or another problem of the host. */
     ENVIRONMENT
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/Outcome.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/Outcome.java
@@ -1,10 +1,10 @@
 package org.apricotstack.core.failure;
 
-/** What a refusal or failure says about the request: whether any part of it reached an upstream. */
+/** The outcome of a refused or failed request: whether an upstream may have run it. */
 public enum Outcome {
-    /** No upstream was given the request, and none will be. */
+    /** The request was sent to no upstream, and will not be. */
     NOT_RUN("not_run"),
-    /** An upstream may have been given the request, or may have run it wholly. */
+    /** An upstream may have received the request, and may have run it completely. */
     UNKNOWN("unknown");
 
     private final String code;
@@ -14,7 +14,7 @@
     }
 
     /**
-     * Returns the code that callers see.
+     * Returns the code that is sent to callers.
      *
      * @return the code
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/Refusal.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/Refusal.java
@@ -1,20 +1,20 @@
 package org.apricotstack.core.failure;
 
 /**
- * Says why a request or an attempt ended without an answer.
+ * The reason why a request or an attempt ended without an answer.
  *
  * @param reason the reason
- * @param outcome whether an upstream may have been given the request
- * @param retryAfterMillis when it makes sense to come back, in milliseconds; 0 if that is not known
- * @param detail further facts for the caller, never a credential or a part of a prompt; may be empty
+ * @param outcome whether an upstream may have received the request
+ * @param retryAfterMillis suggested retry delay, in milliseconds; 0 if not known
+ * @param detail additional information for the caller, never a credential or a part of a prompt; may be empty
  */
 public record Refusal(RefusalReason reason, Outcome outcome, long retryAfterMillis, String detail) {
 
     /**
-     * Creates a refusal of something that was not run.
+     * Creates a refusal of a request that was not run.
      *
      * @param reason the reason
-     * @param retryAfterMillis when to come back, in milliseconds; 0 if not known
+     * @param retryAfterMillis suggested retry delay, in milliseconds; 0 if not known
      * @return the refusal
      */
     public static Refusal notRun(RefusalReason reason, long retryAfterMillis) {
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Creates a refusal of something that was not run, with further facts.
+     * Creates a refusal of a request that was not run, with additional information.
      *
      * @param reason the reason
-     * @param detail the facts
+     * @param detail the information
      * @return the refusal
      */
     public static Refusal notRun(RefusalReason reason, String detail) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Creates a failure of something that may have been run.
+     * Creates a failure of a request that may have been run.
      *
      * @param reason the reason
      * @return the failure
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Turns the refusal into an exception.
+     * Wraps the refusal in an exception.
      *
-     * @return an exception that carries it
+     * @return the exception
      */
     public RefusedException toException() {
         return new RefusedException(this);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusalKind.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusalKind.java
@@ -1,16 +1,16 @@
 package org.apricotstack.core.failure;
 
-/** Families of refusal reasons, by who can do something about them. */
+/** Categories of refusal reasons, by who can resolve them. */
 public enum RefusalKind {
     /** The caller must change the request. */
     CALLER_ERROR,
     /** A limit of the client account is reached. */
     LIMIT,
-    /** The system has more work than it can end in time. */
+    /** The system has more work than it can finish in time. */
     OVERLOAD,
-    /** A part that is needed cannot be reached now. */
+    /** A required component is unreachable at present. */
     UNAVAILABLE,
-    /** An attempt failed after an upstream may have been given the request. */
+    /** An attempt failed after an upstream may have received the request. */
     FAILED,
     /** The time limit passed. */
     TIMEOUT,
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusalReason.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusalReason.java
@@ -174,16 +174,16 @@
     }
 
     /**
-     * Returns the family of the reason.
+     * Returns the category of the reason.
      *
-     * @return the family
+     * @return the category
      */
     public RefusalKind kind() {
         return kind;
     }
 
     /**
-     * Returns what happened, in one sentence.
+     * Returns a one-sentence description for the caller.
      *
      * @return the sentence
      */
@@ -192,7 +192,7 @@
     }
 
     /**
-     * Returns what the caller can do about it.
+     * Returns the remedy for the caller.
      *
      * @return the remedy, in one sentence
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusedException.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/failure/RefusedException.java
@@ -1,6 +1,8 @@
 package org.apricotstack.core.failure;
 
-/** Carries a refusal through a flow. It has no stack trace, as it is an answer and not a fault of the program. */
+/**
+ * Carries a refusal through a reactive stream. It has no stack trace, because it is an answer and not a program error.
+ */
 public final class RefusedException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -20,9 +22,9 @@
     /**
      * Returns the refusal of any error.
      *
-     * @param error the error of a flow
+     * @param error the error of a reactive stream
      * @param defaultRefusal the refusal for an error that carries none
-     * @return the carried refusal, or {@code otherwise}
+     * @return the carried refusal, or {@code defaultRefusal}
      */
     public static Refusal refusalOf(Throwable error, Refusal defaultRefusal) {
         return error instanceof RefusedException refused ? refused.refusal : defaultRefusal;
