--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/Address.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/Address.java
@@ -12,7 +12,7 @@
  */
 public record Address(String ip, int port) {
 
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /**
      * Reads {@code IP:PORT}, with square brackets around an IPv6 number.
@@ -32,7 +32,7 @@
         }
         try {
             int port = Integer.parseInt(text.substring(at + 1));
-            if (port < 0 || port > HIGHEST_PORT || !InetAddresses.isInetAddress(ip)) {
+            if (port < 0 || port > MAX_PORT || !InetAddresses.isInetAddress(ip)) {
                 throw invalid(text);
             }
             return new Address(ip, port);
