--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/Address.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/Address.java
@@ -5,21 +5,21 @@
 import org.apricotstack.core.failure.ErrorCode;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param ip the IP number in its usual text form
- * @param port the TCP port, 0 to 65,535; 0 lets the machine choose when listening
+ * @param ip the IP address in its usual text form
+ * @param port the TCP port, 0 to 65,535; 0 chooses a free port when listening
  */
 public record Address(String ip, int port) {
 
     private static final int MAX_PORT = 65_535;
 
     /**
-     * Reads {@code IP:PORT}, with square brackets around an IPv6 number.
+     * Parses {@code IP:PORT}, with square brackets around an IPv6 address.
      *
      * @param text the text
      * @return the address
-     * @throws ApricotException with {@link ErrorCode#INVALID_NAME} if the text has another form
+     * @throws ApricotException with {@link ErrorCode#INVALID_NAME} if the text is malformed
      */
     public static Address parse(String text) {
         int at = text == null ? -1 : text.lastIndexOf(':');
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Creates the error for a text that is no address. */
+    /** Creates the error for a text that is not an address. */
     private static ApricotException invalid(String text) {
         return new ApricotException(
                 ErrorCode.INVALID_NAME, "\"" + text + "\" is no address; write IP:PORT, such as 127.0.0.1:8080.");
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/AttemptId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/AttemptId.java
@@ -1,10 +1,11 @@
 package org.apricotstack.core.id;
 
 /**
- * Names one attempt to run a request; upstreams echo it, so that a late answer to an earlier attempt is told apart.
+ * Identifies one attempt to run a request. Upstreams echo it, so that a late answer to an earlier attempt can be
+ * recognized.
  *
  * @param request the request
- * @param number 1 for the first attempt, counted up by the entry router alone
+ * @param number 1 for the first attempt; incremented only by the entry router
  */
 public record AttemptId(RequestId request, int number) {
 
@@ -12,10 +13,10 @@
     private static final char SEPARATOR = '~';
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text the form written by {@link #toString()}
-     * @return the attempt, or {@code null} if the text has another form
+     * @return the attempt, or {@code null} if the text is malformed
      */
     public static AttemptId parse(String text) {
         int at = text == null ? -1 : text.lastIndexOf(SEPARATOR);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/Names.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/Names.java
@@ -16,7 +16,7 @@
     /**
      * Checks one name.
      *
-     * @param kind what the name stands for, for the message
+     * @param kind what the name identifies, for the message
      * @param value the name to check
      * @throws ApricotException with {@link ErrorCode#INVALID_NAME} if it does not match {@link #PATTERN}
      */
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Tells whether a text can be a name.
+     * Tells whether a text is a valid name.
      *
      * @param value the text, possibly {@code null}
      * @return whether it matches {@link #PATTERN}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/PresetId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/PresetId.java
@@ -1,7 +1,7 @@
 package org.apricotstack.core.id;
 
 /**
- * Names a preset, the set of operating weights of which exactly one is in force.
+ * Names a preset, a set of scheduling weights and load-shedding limits.
  *
  * @param value the name: 1 to 128 letters, digits, dots, hyphens, underscores or colons
  */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/ProcessId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/ProcessId.java
@@ -1,11 +1,12 @@
 package org.apricotstack.core.id;
 
 /**
- * Names one run of a router process: a restart of the same host is another process with an empty memory.
+ * Identifies one run of a router process: after a restart, the same host runs another process without the previous
+ * state.
  *
  * @param host the host on which it runs
- * @param incarnation number that grows with each start on that host; wall-clock milliseconds at the start, raised
- *     above any number that peers remember
+ * @param incarnation number that increases with each start on that host: wall-clock milliseconds at the start, raised
+ *     above any number that peers have recorded
  */
 public record ProcessId(HostId host, long incarnation) {
 
@@ -13,10 +14,10 @@
     private static final char SEPARATOR = '/';
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text the form written by {@link #toString()}
-     * @return the process, or {@code null} if the text has another form
+     * @return the process, or {@code null} if the text is malformed
      */
     public static ProcessId parse(String text) {
         int at = text == null ? -1 : text.lastIndexOf(SEPARATOR);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/RequestId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/RequestId.java
@@ -1,7 +1,7 @@
 package org.apricotstack.core.id;
 
 /**
- * Names one request of a caller; unique over all routers.
+ * Identifies one request of a caller; unique over all routers.
  *
  * @param value the name: 1 to 128 letters, digits, dots, hyphens, underscores or colons
  */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/ServiceId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/ServiceId.java
@@ -1,7 +1,7 @@
 package org.apricotstack.core.id;
 
 /**
- * Names a service that callers ask for: a use of a model, or a plain service.
+ * Names a service that callers request: a use of a model, or a plain service.
  *
  * @param value the name: 1 to 128 letters, digits, dots, hyphens, underscores or colons
  */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/id/UpstreamId.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/id/UpstreamId.java
@@ -1,17 +1,18 @@
 package org.apricotstack.core.id;
 
 /**
- * Names one start of an upstream: of a model engine, or of one replica of a plain service.
+ * Identifies one incarnation of an upstream: of a model engine, or of a replica of a plain service.
  *
- * <p>An upstream that starts again may keep its name, but it holds and knows nothing of before. Whatever is kept by its
- * id, such as placements, reservations and failures, belongs to one start and is not found under the next.
+ * <p>A restarted upstream may keep its name, but it has none of its previous state. State that is stored by this id,
+ * such as placements, reservations and failures, therefore belongs to one incarnation and does not apply to the next.
  *
  * @param value the name: 1 to 128 letters, digits, dots, hyphens, underscores or colons
- * @param incarnation tells the starts of one name apart, a later one is greater; {@link #ANY_INCARNATION} if unknown
+ * @param incarnation distinguishes the incarnations of one name and increases with each restart; {@link
+ *     #ANY_INCARNATION} if unknown
  */
 public record UpstreamId(String value, long incarnation) implements Comparable<UpstreamId> {
 
-    /** Incarnation of an upstream that does not say when it started, and of all starts of a name together. */
+    /** Incarnation of an upstream that does not report when it started, and of an id that covers all incarnations. */
     public static final long ANY_INCARNATION = 0;
 
     /** Checks the name. */
@@ -20,7 +21,7 @@
     }
 
     /**
-     * Names an upstream of which only the name is known.
+     * Creates the id of an upstream of which only the name is known.
      *
      * @param value the name
      */
@@ -29,19 +30,19 @@
     }
 
     /**
-     * Returns the name alone, as the key of what is published of an upstream.
+     * Returns the id without the incarnation, the key of the published documents of an upstream.
      *
-     * @return the id of all its starts
+     * @return the id that covers all incarnations
      */
     public UpstreamId withoutIncarnation() {
         return incarnation == ANY_INCARNATION ? this : new UpstreamId(value);
     }
 
     /**
-     * Tells whether this is a later start of the same upstream.
+     * Tells whether this is a later incarnation of the same upstream.
      *
-     * @param other the other start
-     * @return whether the other one is over; {@code false} if it is not known which start it is
+     * @param other the other id
+     * @return whether the other incarnation has ended; {@code false} if its incarnation is not known
      */
     public boolean isLaterIncarnationOf(UpstreamId other) {
         return other.incarnation != ANY_INCARNATION && value.equals(other.value) && incarnation > other.incarnation;
