--- a/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
@@ -12,7 +12,7 @@
 class ArchitectureTest {
 
     @ArchTest
-    static final ArchRule SEES_NO_ADAPTER_LIBRARY = noClasses()
+    static final ArchRule DEPENDS_ON_NO_ADAPTER_LIBRARY = noClasses()
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -38,7 +38,7 @@
             .haveFullyQualifiedName("java.time.Clock");
 
     @ArchTest
-    static final ArchRule DRAWS_NO_UNSEEDED_NUMBERS = noClasses()
+    static final ArchRule USES_NO_UNSEEDED_RANDOM_NUMBERS = noClasses()
             .should()
             .dependOnClassesThat()
             .haveFullyQualifiedName("java.util.concurrent.ThreadLocalRandom")
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FaultyNetwork.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FaultyNetwork.java
@@ -19,7 +19,7 @@
     private final VirtualTimeScheduler time;
     private final Random random;
     private final Set<String> cutLinks = new HashSet<>();
-    private double duplicates;
+    private double duplicateShare;
 
     /** Creates a network without faults. */
     public FaultyNetwork(VirtualTimeScheduler time, Random random) {
@@ -29,7 +29,7 @@
 
     /** Sets the share of requests that are delivered twice. */
     void duplicate(double share) {
-        duplicates = share;
+        duplicateShare = share;
     }
 
     /** Cuts a link in both directions; what is sent is lost without a word. */
@@ -64,7 +64,7 @@
     public <E> Flux<E> call(NetworkNode from, NetworkNode to, Flux<E> work) {
         return Flux.create(sink -> {
             Call<E> call = new Call<>(from, to, sink);
-            int copies = random.nextDouble() < duplicates ? 2 : 1;
+            int copies = random.nextDouble() < duplicateShare ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 boolean original = i == 0;
                 send(from.name(), to.name(), to.timer(), () -> call.deliver(work, original));
@@ -85,7 +85,7 @@
         private final FluxSink<E> sink;
         private Disposable running;
         private boolean cancelled;
-        private long nextSend;
+        private long nextSendMillis;
 
         private Call(NetworkNode from, NetworkNode to, FluxSink<E> sink) {
             this.from = from;
@@ -112,8 +112,8 @@
             if (!original) {
                 return;
             }
-            long due = Math.max(nextSend, time.now(TimeUnit.MILLISECONDS) + 1 + random.nextInt(10));
-            nextSend = due;
+            long due = Math.max(nextSendMillis, time.now(TimeUnit.MILLISECONDS) + 1 + random.nextInt(10));
+            nextSendMillis = due;
             time.schedule(
                     () -> {
                         if (isUp(to.name(), from.name())) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetCall.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetCall.java
@@ -11,8 +11,8 @@
 /** One caller of a seeded schedule: it sends a request, and with a ticket sends it again until the outcome is known. */
 final class FleetCall {
 
-    private static final int TRIES = 6;
-    private static final long PAUSE_MILLIS = 300;
+    private static final int MAX_TRIES = 6;
+    private static final long RETRY_DELAY_MILLIS = 300;
 
     private final SeededFleet fleet;
     private final String body;
@@ -23,7 +23,7 @@
     private int open;
     private boolean completed;
     private Refusal refusal;
-    private long lateMillis;
+    private long overtimeMillis;
 
     FleetCall(SeededFleet fleet, String body, boolean ticketed) {
         this.fleet = fleet;
@@ -32,7 +32,7 @@
     }
 
     /** Takes a ticket if one is needed, and sends the request. */
-    void begin() {
+    void start() {
         if (ticketed) {
             FleetNode issuer = fleet.randomNode();
             ticket = issuer.entry().issueTicket(FleetConfigurations.KEY_DIGEST).toString();
@@ -50,11 +50,12 @@
         node.timer().run(() -> node.entry()
                 .submit(SeededFleet.request(body, ticket))
                 .answer()
-                .subscribe(this::take, error -> ended(node, sentMillis, error), () -> ended(node, sentMillis, null)));
+                .subscribe(
+                        this::receive, error -> ended(node, sentMillis, error), () -> ended(node, sentMillis, null)));
         watchConnection(node, tries);
     }
 
-    private void take(AttemptSignal signal) {
+    private void receive(AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Chunk chunk) {
             answer.append(new String(chunk.data(), StandardCharsets.UTF_8));
         }
@@ -63,17 +64,17 @@
     /** Notes the end of one submission. */
     private void ended(FleetNode node, long sentMillis, Throwable error) {
         open--;
-        long took = fleet.time().now(TimeUnit.MILLISECONDS) - sentMillis;
+        long elapsedMillis = fleet.time().now(TimeUnit.MILLISECONDS) - sentMillis;
         if (!node.timer().isDead()) {
-            lateMillis = Math.max(lateMillis, took - FleetConfigurations.LIMIT_MILLIS);
+            overtimeMillis = Math.max(overtimeMillis, elapsedMillis - FleetConfigurations.LIMIT_MILLIS);
         }
         if (error == null) {
             completed = true;
             return;
         }
         refusal = ((RefusedException) error).refusal();
-        if (ticketed && refusal.outcome() == Outcome.UNKNOWN && tries < TRIES) {
-            fleet.time().schedule(this::send, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        if (ticketed && refusal.outcome() == Outcome.UNKNOWN && tries < MAX_TRIES) {
+            fleet.time().schedule(this::send, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -91,7 +92,7 @@
                             }
                             open--;
                             refusal = null;
-                            if (ticketed && tries < TRIES) {
+                            if (ticketed && tries < MAX_TRIES) {
                                 send();
                             }
                         },
@@ -116,13 +117,13 @@
     }
 
     /** Tells whether the last thing that the caller heard is that the request was not run. */
-    boolean wasToldNotRun() {
+    boolean wasReportedNotRun() {
         return !completed && refusal != null && refusal.outcome() == Outcome.NOT_RUN;
     }
 
     /** Returns by how much the slowest submission ended after its time limit; at most 0 if none did. */
-    long lateMillis() {
-        return lateMillis;
+    long overtimeMillis() {
+        return overtimeMillis;
     }
 
     String answer() {
@@ -130,12 +131,12 @@
     }
 
     /** Returns the true answer. */
-    String truth() {
-        StringBuilder truth = new StringBuilder();
-        for (int i = 0; i < LedgerUpstreams.PIECES; i++) {
-            truth.append(LedgerUpstreams.piece(body, i));
+    String expectedAnswer() {
+        StringBuilder expectedAnswer = new StringBuilder();
+        for (int i = 0; i < LedgerUpstreams.CHUNKS; i++) {
+            expectedAnswer.append(LedgerUpstreams.chunk(body, i));
         }
-        return truth.toString();
+        return expectedAnswer.toString();
     }
 
     Refusal refusal() {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetNode.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetNode.java
@@ -59,7 +59,7 @@
     private final MembershipTable table;
     private final UpstreamReconciler reconciler;
     private final Set<UpstreamId> leaving = new HashSet<>();
-    private final QuietEvents events = new QuietEvents();
+    private final NoMetrics metrics = new NoMetrics();
 
     FleetNode(ProcessId process, DataCentreId dataCentre, SeededFleet fleet, VirtualTimeScheduler time) {
         this.process = process;
@@ -69,8 +69,8 @@
         this.table = new MembershipTable(process, 1_000);
         UpstreamGateway gateway = new Gateway();
         FleetConfiguration configuration = fleet.configuration();
-        this.owners = new OwnerService(() -> configuration, () -> leaving, gateway, events, clock, timer);
-        this.reconciler = new UpstreamReconciler(gateway, table, events);
+        this.owners = new OwnerService(() -> configuration, () -> leaving, gateway, metrics, clock, timer);
+        this.reconciler = new UpstreamReconciler(gateway, table, metrics);
         GroupLoadTable loads = new GroupLoadTable(clock);
         GroupFinder finder = new GroupFinder(
                 dataCentre,
@@ -80,7 +80,7 @@
                 new LeastDelayTestChooser(loads),
                 fleet.random()::nextLong);
         RequestCoordinator coordinator =
-                new RequestCoordinator(finder, new Dispatcher(), loads, new RetryBudget(), events, clock, timer);
+                new RequestCoordinator(finder, new Dispatcher(), loads, new RetryBudget(), metrics, clock, timer);
         AtomicLong requests = new AtomicLong();
         EntryGate gate = new EntryGate() {
             @Override
@@ -100,16 +100,16 @@
                 coordinator,
                 new TicketLedger(process, key, clock),
                 this::forward,
-                events,
+                metrics,
                 new EntryService.EntryIdentity(
                         process, clock, () -> new RequestId(name() + "." + requests.incrementAndGet())));
         Flux.interval(Duration.ofMillis(25), timer).subscribe(tick -> owners.tick());
         Flux.interval(Duration.ofMillis(100), timer).subscribe(tick -> owners.heartbeat());
-        Flux.interval(Duration.ofSeconds(1), timer).subscribe(tick -> lookAfterAll());
+        Flux.interval(Duration.ofSeconds(1), timer).subscribe(tick -> reconcileAll());
     }
 
     /** Looks after all engines, as an owner of all groups does. */
-    private void lookAfterAll() {
+    private void reconcileAll() {
         fleet.configuration().parts().groups().values().forEach(group -> reconciler
                 .reconcile(fleet.configuration(), group)
                 .subscribe(done -> {}, error -> {}));
@@ -120,24 +120,25 @@
     }
 
     private Flux<AttemptEvent> forward(RequestId id, Ticket ticket, Work work, Deadline deadline) {
-        FleetNode home = fleet.nodeOf(ticket.issuer());
-        if (home == null) {
+        FleetNode issuer = fleet.nodeOf(ticket.issuer());
+        if (issuer == null) {
             return Flux.error(Refusal.unknown(RefusalReason.TICKET_HOME_LOST).toException());
         }
         AttemptId attempt = ForwardedAnswer.attempt(id);
-        Flux<AttemptEvent> run = home.entry
+        Flux<AttemptEvent> run = issuer.entry
                 .runForwarded(id, ticket.toString(), work, deadline)
                 .map(signal -> new AttemptEvent(attempt, signal))
                 .onErrorResume(error -> Mono.just(AttemptEvent.refused(
                         attempt,
                         RefusedException.refusalOf(error, Refusal.unknown(RefusalReason.INTERNAL_ERROR)),
                         null)));
-        return fleet.network().call(this, home, run).onErrorMap(error -> Refusal.unknown(RefusalReason.TICKET_HOME_LOST)
+        return fleet.network().call(this, issuer, run).onErrorMap(error -> Refusal.unknown(
+                        RefusalReason.TICKET_HOME_LOST)
                 .toException());
     }
 
     /** Notes that another process was heard of. */
-    void hear(ProcessId other) {
+    void addAlive(ProcessId other) {
         table.recordAlive(other, 0);
     }
 
@@ -164,7 +165,7 @@
     }
 
     /** Marks an upstream as leaving by the roster. */
-    void listLeaving(UpstreamId upstream) {
+    void markLeaving(UpstreamId upstream) {
         leaving.add(upstream);
         owners.refresh();
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
@@ -23,7 +23,7 @@
     private static final int BLOCK = 500;
     private static final int BLOCKS = 20;
     private static final int STEPS = 60;
-    private static final double FAULTS = 0.3;
+    private static final double FAULT_SHARE = 0.3;
 
     /** Blocks of seeds; 10,000 schedules in all. */
     static LongStream blocks() {
@@ -32,10 +32,10 @@
 
     @ParameterizedTest
     @MethodSource("blocks")
-    void keepsItsPromisesUnderAllFaultsTogether(long block) {
+    void keepsItsGuaranteesUnderCombinedFaults(long block) {
         for (long seed = block * BLOCK; seed < (block + 1) * BLOCK; seed++) {
             SeededFleet fleet = new SeededFleet(seed);
-            fleet.run(STEPS, FAULTS);
+            fleet.run(STEPS, FAULT_SHARE);
             for (FleetCall call : fleet.calls()) {
                 check(seed, fleet, call);
             }
@@ -50,10 +50,10 @@
     void endsEachRequestWithinItsTimeLimit(long block) {
         for (long seed = block * BLOCK; seed < block * BLOCK + BLOCK / 5; seed++) {
             SeededFleet fleet = new SeededFleet(seed);
-            fleet.withoutPauses();
-            fleet.run(STEPS, FAULTS);
+            fleet.disablePauses();
+            fleet.run(STEPS, FAULT_SHARE);
             for (FleetCall call : fleet.calls()) {
-                assertThat(call.lateMillis())
+                assertThat(call.overtimeMillis())
                         .as("time over the limit of %s, seed %d", call.body(), seed)
                         .isLessThanOrEqualTo(0);
             }
@@ -67,7 +67,7 @@
         if (call.isTicketed()) {
             assertThat(runs).as("runs of %s, seed %d", call.body(), seed).isLessThanOrEqualTo(1);
         }
-        if (call.wasToldNotRun()) {
+        if (call.wasReportedNotRun()) {
             assertThat(runs)
                     .as("%s was told %s, seed %d", call.body(), call.refusal(), seed)
                     .isZero();
@@ -75,7 +75,7 @@
         if (call.isCompleted()) {
             assertThat(call.answer())
                     .as("answer of %s, seed %d", call.body(), seed)
-                    .isEqualTo(call.truth());
+                    .isEqualTo(call.expectedAnswer());
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
@@ -36,14 +36,14 @@
 final class LedgerUpstreams {
 
     /** Pieces of each answer. */
-    static final int PIECES = 5;
+    static final int CHUNKS = 5;
 
     private final VirtualTimeScheduler time;
     private final Random random;
     private final Map<String, Integer> runs = new HashMap<>();
     private final Map<String, Held> held = new TreeMap<>();
     private final Set<UpstreamId> leaving = new HashSet<>();
-    private double faults;
+    private double faultShare;
 
     LedgerUpstreams(VirtualTimeScheduler time, Random random) {
         this.time = time;
@@ -52,7 +52,7 @@
 
     /** Sets the share of attempts that meet a fault. */
     void setFaults(double share) {
-        faults = share;
+        faultShare = share;
     }
 
     /** Lets an upstream leave: it refuses new work by its own word. */
@@ -71,7 +71,7 @@
     }
 
     /** Returns the piece of the true answer at a place. */
-    static String piece(String body, long index) {
+    static String chunk(String body, long index) {
         return body + "#" + index + ";";
     }
 
@@ -91,8 +91,8 @@
             job.fail(Refusal.notRun(RefusalReason.UPSTREAM_LEAVING, 0));
             return;
         }
-        double fate = random.nextDouble();
-        if (fate < faults / 4) {
+        double draw = random.nextDouble();
+        if (draw < faultShare / 4) {
             job.fail(Refusal.notRun(RefusalReason.UPSTREAM_REFUSED, 0));
             return;
         }
@@ -100,48 +100,49 @@
         runs.merge(body, 1, Integer::sum);
         String name = job.upstream + "/" + job.command.attempt();
         held.put(name, new Held(job.owner, time.now(TimeUnit.MILLISECONDS), job.remainingMillis));
-        Fate drawn = Fate.NONE;
-        if (fate < faults) {
-            drawn = Fate.values()[1 + random.nextInt(Fate.values().length - 1)];
+        Fault fault = Fault.NONE;
+        if (draw < faultShare) {
+            fault = Fault.values()[1 + random.nextInt(Fault.values().length - 1)];
         }
-        step(job, body, name, job.command.resumeOffset(), drawn);
+        sendChunk(job, body, name, job.command.resumeOffset(), fault);
     }
 
     /** Sends one piece and schedules the next. */
-    private void step(Job job, String body, String name, long index, Fate fate) {
+    private void sendChunk(Job job, String body, String name, long index, Fault fault) {
         if (!held.containsKey(name)) {
             return;
         }
-        boolean half = index >= PIECES / 2;
-        if (half && fate == Fate.SILENT) {
+        boolean halfSent = index >= CHUNKS / 2;
+        if (halfSent && fault == Fault.SILENT) {
             return;
         }
-        if (half && fate == Fate.CUT) {
+        if (halfSent && fault == Fault.CUT) {
             held.remove(name);
             job.complete();
             return;
         }
-        if (half && fate == Fate.BROKEN) {
+        if (halfSent && fault == Fault.BROKEN) {
             job.fail(Refusal.unknown(RefusalReason.UPSTREAM_FAILED));
             return;
         }
         AttemptId id = job.command.attempt();
-        if (index == PIECES) {
+        if (index == CHUNKS) {
             held.remove(name);
-            job.emit(new AttemptEvent(id, new AttemptSignal.Completed(PIECES, 1, 0, "stop")));
+            job.emit(new AttemptEvent(id, new AttemptSignal.Completed(CHUNKS, 1, 0, "stop")));
             job.complete();
             return;
         }
-        AttemptId named = half && fate == Fate.CROSSED ? new AttemptId(id.request(), id.number() + 7) : id;
-        byte[] data = piece(body, index).getBytes(StandardCharsets.UTF_8);
-        job.emit(new AttemptEvent(named, new AttemptSignal.Chunk(index, 1, data)));
-        time.schedule(() -> step(job, body, name, index + 1, fate), 1 + random.nextInt(60), TimeUnit.MILLISECONDS);
+        AttemptId statedId = halfSent && fault == Fault.CROSSED ? new AttemptId(id.request(), id.number() + 7) : id;
+        byte[] data = chunk(body, index).getBytes(StandardCharsets.UTF_8);
+        job.emit(new AttemptEvent(statedId, new AttemptSignal.Chunk(index, 1, data)));
+        time.schedule(
+                () -> sendChunk(job, body, name, index + 1, fault), 1 + random.nextInt(60), TimeUnit.MILLISECONDS);
     }
 
     /** Releases what an upstream holds for an attempt. */
     Mono<Void> release(Upstream upstream, AttemptId attempt) {
         return Mono.defer(() -> {
-            if (random.nextDouble() < faults) {
+            if (random.nextDouble() < faultShare) {
                 return Mono.error(new IllegalStateException("release lost"));
             }
             held.remove(upstream.id() + "/" + attempt);
@@ -170,7 +171,7 @@
     }
 
     /** What goes wrong with an attempt after it was taken. */
-    private enum Fate {
+    private enum Fault {
         NONE,
         SILENT,
         CUT,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/QuietEvents.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NoMetrics.java
@@ -10,7 +10,7 @@
 import org.apricotstack.core.stream.StreamVerdict;
 
 /** Counters that count nothing. */
-public class QuietEvents implements EntryMetrics, OwnerMetrics {
+public class NoMetrics implements EntryMetrics, OwnerMetrics {
 
     @Override
     public void requestRefused(Refusal refusal) {}
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NodeScheduler.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NodeScheduler.java
@@ -12,7 +12,7 @@
 public final class NodeScheduler implements Scheduler {
 
     private final VirtualTimeScheduler time;
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> heldTasks = new ArrayList<>();
     private boolean paused;
     private boolean dead;
 
@@ -27,7 +27,7 @@
             return;
         }
         if (paused) {
-            held.add(task);
+            heldTasks.add(task);
         } else {
             task.run();
         }
@@ -41,15 +41,15 @@
     /** Runs what has waited, in its order. */
     public void resume() {
         paused = false;
-        List<Runnable> waiting = List.copyOf(held);
-        held.clear();
-        waiting.forEach(this::run);
+        List<Runnable> tasks = List.copyOf(heldTasks);
+        heldTasks.clear();
+        tasks.forEach(this::run);
     }
 
     /** Loses all tasks for good. */
     public void kill() {
         dead = true;
-        held.clear();
+        heldTasks.clear();
     }
 
     /** Tells whether the process is dead. */
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
@@ -45,7 +45,7 @@
     private final List<FleetCall> calls = new ArrayList<>();
     private final Roster roster;
     private long incarnations = 1;
-    private boolean pauses = true;
+    private boolean pausesEnabled = true;
 
     SeededFleet(long seed) {
         random = new Random(seed);
@@ -69,8 +69,8 @@
         int index = Integer.parseInt(host.value().substring(1));
         FleetNode node = new FleetNode(new ProcessId(host, incarnations++), dataCentre(index), this, time);
         nodes.put(host, node);
-        nodes.values().forEach(other -> other.hear(node.process()));
-        nodes.values().forEach(other -> node.hear(other.process()));
+        nodes.values().forEach(other -> other.addAlive(node.process()));
+        nodes.values().forEach(other -> node.addAlive(other.process()));
     }
 
     /** Runs a schedule: random calls and faults for some steps, then peace until all has ended. */
@@ -82,7 +82,7 @@
                 call();
             }
             if (random.nextDouble() < faultShare) {
-                fault();
+                injectFault();
             }
             time.advanceTimeBy(Duration.ofMillis(STEP_MILLIS));
         }
@@ -94,8 +94,8 @@
     }
 
     /** Leaves pauses out, so that each end can be held against its time limit. */
-    void withoutPauses() {
-        pauses = false;
+    void disablePauses() {
+        pausesEnabled = false;
     }
 
     /** Sends a call of a random kind to a random router. */
@@ -103,11 +103,11 @@
         boolean ticketed = random.nextBoolean();
         FleetCall call = new FleetCall(this, "call" + calls.size(), ticketed);
         calls.add(call);
-        call.begin();
+        call.start();
     }
 
     /** Lets one thing go wrong, or come right again. */
-    private void fault() {
+    private void injectFault() {
         FleetNode node = randomNode();
         switch (random.nextInt(5)) {
             case 0 -> {
@@ -115,7 +115,7 @@
                 start(node.process().host());
             }
             case 1 -> {
-                if (!pauses) {
+                if (!pausesEnabled) {
                     return;
                 }
                 node.timer().pause();
@@ -155,7 +155,7 @@
                 plain ? ServiceKind.PLAIN : ServiceKind.COMPLETION,
                 plain ? "confirm" : "answer",
                 plain ? 0 : 100,
-                plain ? 0 : LedgerUpstreams.PIECES,
+                plain ? 0 : LedgerUpstreams.CHUNKS,
                 List.of(),
                 body.getBytes(StandardCharsets.UTF_8),
                 plain ? new PlainCall("POST", "/run", List.of()) : null,
