--- a/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
@@ -7,7 +7,9 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
-/** The core decides; it does no input or output and reads no clock of the machine. */
+/**
+ * Checks that the core contains only decisions: no input or output, no system clock, and no unseeded random numbers.
+ */
 @AnalyzeClasses(packages = "org.apricotstack.core", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FaultyNetwork.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FaultyNetwork.java
@@ -11,8 +11,8 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * Connections between processes in virtual time: each has a delay, may be cut without a word, and dies with its
- * ends. A request may be delivered twice, as after a retry inside a library.
+ * Simulates connections between processes in virtual time. Each connection has a delay, may silently lose messages, and
+ * breaks when one of its endpoints dies. A request may be delivered twice, as after a retry inside a library.
  */
 public final class FaultyNetwork {
 
@@ -32,13 +32,13 @@
         duplicateShare = share;
     }
 
-    /** Cuts a link in both directions; what is sent is lost without a word. */
+    /** Cuts a link in both directions; messages are lost silently. */
     public void cut(String a, String b) {
         cutLinks.add(a + ">" + b);
         cutLinks.add(b + ">" + a);
     }
 
-    /** Mends all links. */
+    /** Restores all links. */
     public void heal() {
         cutLinks.clear();
     }
@@ -47,7 +47,7 @@
         return !cutLinks.contains(from + ">" + to);
     }
 
-    /** Runs a task at the receiver after the delay of the link, if the link is up and the receiver lives. */
+    /** Runs a task at the receiver after the delay of the link, if the link is up and the receiver is alive. */
     private void send(String from, String to, NodeScheduler receiver, Runnable task) {
         long delay = 1 + random.nextInt(10);
         time.schedule(
@@ -60,7 +60,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Makes a call whose answers come back as a flow. A receiver that has died breaks the connection. */
+    /** Makes a call whose answers come back as a stream. If the receiver is dead, the connection breaks. */
     public <E> Flux<E> call(NetworkNode from, NetworkNode to, Flux<E> work) {
         return Flux.create(sink -> {
             Call<E> call = new Call<>(from, to, sink);
@@ -75,7 +75,7 @@
     }
 
     /**
-     * One call on its way.
+     * A call in progress.
      *
      * @param <E> the type of its answers
      */
@@ -93,7 +93,7 @@
             this.sink = sink;
         }
 
-        /** Runs the work at the receiver; the answers of a second copy go nowhere. */
+        /** Runs the work at the receiver; the answers of a second copy are dropped. */
         private void deliver(Flux<E> work, boolean original) {
             if (cancelled) {
                 return;
@@ -131,7 +131,7 @@
             }
         }
 
-        /** Tells the caller that the connection broke some time after the receiver has died. */
+        /** Fails the call with a connection error some time after the receiver has died. */
         private void watchReceiver() {
             if (sink.isCancelled()) {
                 return;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetCall.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetCall.java
@@ -8,7 +8,10 @@
 import org.apricotstack.core.failure.RefusedException;
 import org.apricotstack.core.stream.AttemptSignal;
 
-/** One caller of a seeded schedule: it sends a request, and with a ticket sends it again until the outcome is known. */
+/**
+ * A caller of a seeded schedule: it sends a request and, if it has a ticket, repeats the request until the outcome is
+ * known.
+ */
 final class FleetCall {
 
     private static final int MAX_TRIES = 6;
@@ -31,7 +34,7 @@
         this.ticketed = ticketed;
     }
 
-    /** Takes a ticket if one is needed, and sends the request. */
+    /** Requests a ticket if one is needed, and sends the request. */
     void start() {
         if (ticketed) {
             FleetNode issuer = fleet.randomNode();
@@ -61,7 +64,7 @@
         }
     }
 
-    /** Notes the end of one submission. */
+    /** Records the end of one submission. */
     private void ended(FleetNode node, long sentMillis, Throwable error) {
         open--;
         long elapsedMillis = fleet.time().now(TimeUnit.MILLISECONDS) - sentMillis;
@@ -78,7 +81,7 @@
         }
     }
 
-    /** Sends again when the router that got the request has died: the caller's connection broke. */
+    /** Sends the request again when the router that received it has died, as if the caller's connection broke. */
     private void watchConnection(FleetNode node, int atTry) {
         fleet.time()
                 .schedule(
@@ -116,12 +119,12 @@
         return completed;
     }
 
-    /** Tells whether the last thing that the caller heard is that the request was not run. */
+    /** Tells whether the last answer to the caller was that the request was not run. */
     boolean wasReportedNotRun() {
         return !completed && refusal != null && refusal.outcome() == Outcome.NOT_RUN;
     }
 
-    /** Returns by how much the slowest submission ended after its time limit; at most 0 if none did. */
+    /** Returns the time by which the slowest submission exceeded its time limit; at most 0 if none did. */
     long overtimeMillis() {
         return overtimeMillis;
     }
@@ -130,7 +133,7 @@
         return answer.toString();
     }
 
-    /** Returns the true answer. */
+    /** Returns the correct answer. */
     String expectedAnswer() {
         StringBuilder expectedAnswer = new StringBuilder();
         for (int i = 0; i < LedgerUpstreams.CHUNKS; i++) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetConfigurations.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetConfigurations.java
@@ -39,7 +39,7 @@
         return small(1, FleetLimits.DEFAULT);
     }
 
-    /** Builds a version with some limits. */
+    /** Builds a version with the given limits. */
     public static FleetConfiguration small(long version, FleetLimits limits) {
         ConfigurationParts parts = new ConfigurationParts(
                 new TreeMap<>(),
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetNode.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetNode.java
@@ -48,7 +48,7 @@
 import reactor.core.publisher.Mono;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** One process of a seeded schedule: the real decisions of a router, with fake connections. */
+/** A router process of a seeded schedule: the production decision code with simulated connections. */
 final class FleetNode implements NetworkNode {
 
     private final ProcessId process;
@@ -108,7 +108,7 @@
         Flux.interval(Duration.ofSeconds(1), timer).subscribe(tick -> reconcileAll());
     }
 
-    /** Looks after all engines, as an owner of all groups does. */
+    /** Reconciles all engines, as an owner of all groups does. */
     private void reconcileAll() {
         fleet.configuration().parts().groups().values().forEach(group -> reconciler
                 .reconcile(fleet.configuration(), group)
@@ -137,7 +137,7 @@
                 .toException());
     }
 
-    /** Notes that another process was heard of. */
+    /** Records that another process is alive. */
     void addAlive(ProcessId other) {
         table.recordAlive(other, 0);
     }
@@ -164,13 +164,13 @@
         return owners;
     }
 
-    /** Marks an upstream as leaving by the roster. */
+    /** Marks an upstream as leaving, as the roster does. */
     void markLeaving(UpstreamId upstream) {
         leaving.add(upstream);
         owners.refresh();
     }
 
-    /** Gives attempts to the owner's process over the faulty network. */
+    /** Dispatches attempts to the owner's process over the faulty network. */
     private final class Dispatcher implements AttemptDispatcher {
 
         @Override
@@ -192,7 +192,7 @@
         }
     }
 
-    /** The upstreams as this process reaches them. */
+    /** The connections of this process to the upstreams. */
     private final class Gateway implements UpstreamGateway {
 
         @Override
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
@@ -8,15 +8,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: a request hangs past its time limit, an answer is cut or mixed up, a call that must not be repeated runs
- * twice, a refusal says "not run" of a call that ran, or an engine holds memory for nobody.
+ * Checks that no request hangs past its time limit, no answer is incomplete or mixed up, no call that must not be
+ * repeated runs twice, no call that ran is refused as not run, and no engine holds orphaned memory.
  *
- * <p>Sequence of events: routers are killed and restarted with an empty memory, paused and woken late, cut off from
- * each other without a word; requests are delivered twice; upstreams refuse, break, cut, cross and go silent;
- * callers ask again with the same ticket at other routers. All of it at random moments, from a seed.
+ * <p>At random moments that a seed determines, routers are killed and restarted without state, paused and resumed late,
+ * and silently partitioned from each other; requests are delivered twice; upstreams refuse, fail, send incomplete or
+ * mixed-up answers and go silent; callers repeat requests with the same ticket at other routers.
  *
- * <p>Cause to be excluded: any decision that rests on another process still being there, or on a message having
- * arrived.
+ * <p>The test fails if a decision relies on another process being alive or on a message having arrived.
  */
 class FleetScheduleTest {
 
@@ -25,7 +24,7 @@
     private static final int STEPS = 60;
     private static final double FAULT_SHARE = 0.3;
 
-    /** Blocks of seeds; 10,000 schedules in all. */
+    /** Blocks of seeds; 10,000 schedules in total. */
     static LongStream blocks() {
         return LongStream.range(0, BLOCKS);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
@@ -29,13 +29,10 @@
 import reactor.core.publisher.Mono;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/**
- * All upstreams of a seeded schedule: they count what was run by the body of the request, hold memory, and fail at
- * random.
- */
+/** All upstreams of a seeded schedule. They count the runs per request body, hold memory, and fail at random. */
 final class LedgerUpstreams {
 
-    /** Pieces of each answer. */
+    /** Number of chunks of each answer. */
     static final int CHUNKS = 5;
 
     private final VirtualTimeScheduler time;
@@ -50,12 +47,12 @@
         this.random = random;
     }
 
-    /** Sets the share of attempts that meet a fault. */
+    /** Sets the share of attempts that fail. */
     void setFaults(double share) {
         faultShare = share;
     }
 
-    /** Lets an upstream leave: it refuses new work by its own word. */
+    /** Makes an upstream leave: it refuses new work itself. */
     void leave(UpstreamId upstream) {
         leaving.add(upstream);
     }
@@ -65,7 +62,7 @@
         return runs.getOrDefault(body, 0);
     }
 
-    /** Returns what engines still hold; plain services hold no memory. */
+    /** Returns the memory that engines still hold; plain services hold none. */
     List<String> held() {
         return held.keySet().stream().filter(name -> name.startsWith("m-")).toList();
     }
@@ -85,7 +82,7 @@
                 TimeUnit.MILLISECONDS));
     }
 
-    /** Takes an attempt that arrived, whatever has become of its owner meanwhile. */
+    /** Accepts an attempt, even if its owner has died since it was sent. */
     private void arrive(Job job) {
         if (leaving.contains(job.upstream)) {
             job.fail(Refusal.notRun(RefusalReason.UPSTREAM_LEAVING, 0));
@@ -107,7 +104,7 @@
         sendChunk(job, body, name, job.command.resumeOffset(), fault);
     }
 
-    /** Sends one piece and schedules the next. */
+    /** Sends one chunk and schedules the next. */
     private void sendChunk(Job job, String body, String name, long index, Fault fault) {
         if (!held.containsKey(name)) {
             return;
@@ -139,7 +136,7 @@
                 () -> sendChunk(job, body, name, index + 1, fault), 1 + random.nextInt(60), TimeUnit.MILLISECONDS);
     }
 
-    /** Releases what an upstream holds for an attempt. */
+    /** Releases the memory that an upstream holds for an attempt. */
     Mono<Void> release(Upstream upstream, AttemptId attempt) {
         return Mono.defer(() -> {
             if (random.nextDouble() < faultShare) {
@@ -150,7 +147,7 @@
         });
     }
 
-    /** Lists what an upstream holds. */
+    /** Lists the memory that an upstream holds. */
     Mono<List<HeldStream>> list(Upstream upstream) {
         return Mono.fromSupplier(() -> {
             List<HeldStream> list = new ArrayList<>();
@@ -165,12 +162,12 @@
         });
     }
 
-    /** Says that an engine is what it should be; orders are not part of these schedules. */
+    /** Reports no state, so that no engine is sent an order; orders are not part of these schedules. */
     Mono<DesiredUpstreamState> state(Upstream upstream) {
         return Mono.empty();
     }
 
-    /** What goes wrong with an attempt after it was taken. */
+    /** The fault of an attempt after it was accepted. */
     private enum Fault {
         NONE,
         SILENT,
@@ -180,10 +177,10 @@
     }
 
     /**
-     * Memory that is held.
+     * Held memory.
      *
-     * @param owner the owner process that asked
-     * @param sinceMillis since when
+     * @param owner the owner process that requested it
+     * @param sinceMillis the time since when it is held
      * @param limitMillis the time limit that came with it
      */
     private record Held(ProcessId owner, long sinceMillis, long limitMillis) {}
@@ -196,7 +193,7 @@
      * @param command the attempt
      * @param upstream the upstream
      * @param remainingMillis the time limit
-     * @param sink takes the events
+     * @param sink receives the events
      */
     private record Job(
             ProcessId owner,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NetworkNode.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NetworkNode.java
@@ -6,6 +6,6 @@
     /** Returns the name of its host. */
     String name();
 
-    /** Returns its timer. */
+    /** Returns its scheduler. */
     NodeScheduler timer();
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NoMetrics.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NoMetrics.java
@@ -9,7 +9,7 @@
 import org.apricotstack.core.routing.GroupChoice;
 import org.apricotstack.core.stream.StreamVerdict;
 
-/** Counters that count nothing. */
+/** Metrics that record nothing. */
 public class NoMetrics implements EntryMetrics, OwnerMetrics {
 
     @Override
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NodeScheduler.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NodeScheduler.java
@@ -8,7 +8,10 @@
 import reactor.core.scheduler.Scheduler;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** The timer of one process in virtual time: its tasks wait while the process is paused, and are lost when it dies. */
+/**
+ * The scheduler of one process in virtual time: tasks are held back while the process is paused, and dropped when it
+ * dies.
+ */
 public final class NodeScheduler implements Scheduler {
 
     private final VirtualTimeScheduler time;
@@ -16,12 +19,12 @@
     private boolean paused;
     private boolean dead;
 
-    /** Creates the timer of a living process. */
+    /** Creates the scheduler of a running process. */
     public NodeScheduler(VirtualTimeScheduler time) {
         this.time = time;
     }
 
-    /** Runs a task now, later, or never. */
+    /** Runs a task now, after the pause, or never if the process is dead. */
     public void run(Runnable task) {
         if (dead) {
             return;
@@ -33,12 +36,12 @@
         }
     }
 
-    /** Stops all tasks until {@link #resume()}. */
+    /** Holds back all tasks until {@link #resume()}. */
     public void pause() {
         paused = true;
     }
 
-    /** Runs what has waited, in its order. */
+    /** Runs the held tasks in their order. */
     public void resume() {
         paused = false;
         List<Runnable> tasks = List.copyOf(heldTasks);
@@ -46,7 +49,7 @@
         tasks.forEach(this::run);
     }
 
-    /** Loses all tasks for good. */
+    /** Drops all tasks permanently. */
     public void kill() {
         dead = true;
         heldTasks.clear();
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
@@ -26,8 +26,8 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * A seeded schedule of a few routers, upstreams and callers in virtual time, with pauses, deaths, cuts, duplicates
- * and failing upstreams. Equal seeds give equal schedules.
+ * A seeded schedule of a few routers, upstreams and callers in virtual time, with pauses, crashes, network partitions,
+ * duplicated messages and failing upstreams. Equal seeds give equal schedules.
  */
 final class SeededFleet {
 
@@ -73,7 +73,10 @@
         nodes.values().forEach(other -> node.addAlive(other.process()));
     }
 
-    /** Runs a schedule: random calls and faults for some steps, then peace until all has ended. */
+    /**
+     * Runs a schedule: random calls and faults for a number of steps, then a fault-free period until everything has
+     * ended.
+     */
     void run(int steps, double faultShare) {
         upstreams.setFaults(faultShare / 2);
         network.duplicate(faultShare / 2);
@@ -93,7 +96,7 @@
         time.advanceTimeBy(LedgerUpstreams.longestLimit().multipliedBy(4));
     }
 
-    /** Leaves pauses out, so that each end can be held against its time limit. */
+    /** Disables pauses, so that each call must end within its time limit. */
     void disablePauses() {
         pausesEnabled = false;
     }
@@ -106,7 +109,7 @@
         call.start();
     }
 
-    /** Lets one thing go wrong, or come right again. */
+    /** Injects one random fault, or ends one. */
     private void injectFault() {
         FleetNode node = randomNode();
         switch (random.nextInt(5)) {
@@ -132,12 +135,12 @@
         return nodes.values().stream().skip(index).findFirst().orElseThrow();
     }
 
-    /** Returns the process that lives on a host now. */
+    /** Returns the process that currently runs on a host. */
     FleetNode node(HostId host) {
         return nodes.get(host);
     }
 
-    /** Returns a process if it still lives. */
+    /** Returns a process if it is still alive, else {@code null}. */
     FleetNode nodeOf(ProcessId process) {
         FleetNode node = nodes.get(process.host());
         return node != null && node.process().equals(process) ? node : null;
@@ -147,7 +150,7 @@
         return MemberView.of(1, roster, table);
     }
 
-    /** Makes a request with a body of its own. */
+    /** Creates a request with the given body. */
     static EntryRequest request(String body, String ticket) {
         boolean plain = ticket != null;
         return new EntryRequest(
