--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnedAttempt.java
@@ -89,7 +89,7 @@
         return ended.compareAndSet(false, true);
     }
 
-    /** Marks the first piece of the answer; returns whether this call was the first to do so. */
+    /** Marks the first chunk of the answer; returns whether this call was the first to do so. */
     boolean markFirstChunk() {
         return firstChunk.compareAndSet(false, true);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
@@ -68,7 +68,7 @@
         }
         if (call.wasReportedNotRun()) {
             assertThat(runs)
-                    .as("%s was told %s, seed %d", call.body(), call.refusal(), seed)
+                    .as("%s was refused with %s, seed %d", call.body(), call.refusal(), seed)
                     .isZero();
         }
         if (call.isCompleted()) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
@@ -67,7 +67,7 @@
         return held.keySet().stream().filter(name -> name.startsWith("m-")).toList();
     }
 
-    /** Returns the piece of the true answer at a place. */
+    /** Returns the correct chunk of an answer at an index. */
     static String chunk(String body, long index) {
         return body + "#" + index + ";";
     }
