--- a/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/configuration/FleetConfiguration.java
@@ -22,13 +22,13 @@
     private final Map<String, ClientAccount> accountsByKeyDigest = new HashMap<>();
     private final Map<GroupId, List<Upstream>> upstreamsByGroup = new HashMap<>();
     private final Map<TargetKey, List<Group>> groupsByTarget = new HashMap<>();
-    private final Map<TargetKey, Map<DataCentreId, List<Group>>> groupsByPlace = new HashMap<>();
+    private final Map<TargetKey, Map<DataCentreId, List<Group>>> groupsByDataCentre = new HashMap<>();
     private final Map<GroupId, Long> memoryByGroup = new HashMap<>();
 
     /**
-     * Creates a configuration from parts that {@link ConfigurationCheck} found no problem in.
+     * Creates a configuration from parts that passed {@link ConfigurationCheck}.
      *
-     * @param version the version, from the platform
+     * @param version the version assigned by the platform
      * @param parts the parts
      */
     public FleetConfiguration(long version, ConfigurationParts parts) {
@@ -47,7 +47,7 @@
         for (Group group : parts.groups().values()) {
             TargetKey target = new TargetKey(group.kind(), group.target());
             groupsByTarget.computeIfAbsent(target, key -> new ArrayList<>()).add(group);
-            groupsByPlace
+            groupsByDataCentre
                     .computeIfAbsent(target, key -> new HashMap<>())
                     .computeIfAbsent(group.dataCentre(), key -> new ArrayList<>())
                     .add(group);
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the parts as they were published.
+     * Returns the published parts.
      *
      * @return the parts
      */
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Finds the client account that a key belongs to. The look-up works on digests, so that its time tells nothing
+     * Finds the client account that a key belongs to. The lookup uses digests, so that its duration reveals nothing
      * about a key.
      *
      * @param keyDigest SHA-256 digest of the key, lower-case hexadecimal
@@ -188,13 +188,13 @@
      * @return the groups, in the order of their names
      */
     public List<Group> groups(Service service, DataCentreId dataCentre) {
-        return groupsByPlace
+        return groupsByDataCentre
                 .getOrDefault(new TargetKey(service.kind(), service.target()), Map.of())
                 .getOrDefault(dataCentre, List.of());
     }
 
     /**
-     * Returns the memory of all engines of a group together.
+     * Returns the total memory of all engines of a group.
      *
      * @param id the group
      * @return tokens
@@ -204,7 +204,7 @@
     }
 
     /**
-     * What a group serves.
+     * The key of the target that a group serves.
      *
      * @param kind the kind
      * @param target the model or plain service
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
@@ -23,10 +23,10 @@
 import org.apricotstack.core.time.MonotonicClock;
 import reactor.core.publisher.Flux;
 
-/** Takes requests of callers: checks, limits, tickets, and then the run. */
+/** Accepts requests of callers: checks them, applies account limits and tickets, and runs them. */
 public final class EntryService {
 
-    /** When to come back if this router cannot take requests, in milliseconds. */
+    /** Suggested retry delay while this router does not accept requests, in milliseconds. */
     private static final long CLOSED_RETRY_MILLIS = 500;
 
     private final EntryGate gate;
@@ -35,20 +35,20 @@
     private final TicketLedger ledger;
     private final TicketedRuns ticketed;
     private final TicketForwarder forwarder;
-    private final EntryMetrics events;
+    private final EntryMetrics metrics;
     private final EntryIdentity identity;
     private final AtomicLong active = new AtomicLong();
 
     /**
      * Creates a service.
      *
-     * @param gate whether requests are taken
+     * @param gate whether requests are accepted
      * @param limiter limits of client accounts
      * @param coordinator runs admitted requests
      * @param ledger tickets of this process
-     * @param forwarder gives requests to the issuers of their tickets
-     * @param events counters
-     * @param identity process, clock and source of request names
+     * @param forwarder forwards requests to the issuers of their tickets
+     * @param metrics counters
+     * @param identity process, clock and generator of request ids
      */
     public EntryService(
             EntryGate gate,
@@ -56,7 +56,7 @@
             RequestCoordinator coordinator,
             TicketLedger ledger,
             TicketForwarder forwarder,
-            EntryMetrics events,
+            EntryMetrics metrics,
             EntryIdentity identity) {
         this.gate = gate;
         this.limiter = limiter;
@@ -64,16 +64,16 @@
         this.ledger = ledger;
         this.ticketed = new TicketedRuns(ledger);
         this.forwarder = forwarder;
-        this.events = events;
+        this.metrics = metrics;
         this.identity = identity;
     }
 
     /**
-     * Who this router is.
+     * Identity of this router.
      *
      * @param process this process
      * @param clock the local clock
-     * @param requestIds makes names of requests, unique over all routers
+     * @param requestIds generates request ids that are unique over all routers
      */
     public record EntryIdentity(ProcessId process, MonotonicClock clock, Supplier<RequestId> requestIds) {}
 
@@ -82,26 +82,25 @@
      *
      * @param keyDigest SHA-256 of the caller's key, or {@code null}
      * @return the ticket
-     * @throws RefusedException if the caller has no client account or this router takes no requests
+     * @throws RefusedException if the caller has no client account or this router accepts no requests
      */
     public Ticket issueTicket(String keyDigest) {
         FleetConfiguration configuration = requireOpen();
-        EntryRequest asking = new EntryRequest(keyDigest, null, null, 0, 0, null, null, null, null, null);
+        EntryRequest accountRequest = new EntryRequest(keyDigest, null, null, 0, 0, null, null, null, null, null);
         try {
-            new RequestChecks(configuration, asking).account();
+            new RequestChecks(configuration, accountRequest).account();
         } catch (RefusedException e) {
-            events.requestRefused(e.refusal());
+            metrics.requestRefused(e.refusal());
             throw e;
         }
         return ledger.issue(configuration.limits().ticketValidMillis());
     }
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
      * @param request the request
-     * @return its name and its answer; the answer ends with an error of type {@link RefusedException} if there is
-     *     none
+     * @return its id and its answer, which fails with a {@link RefusedException} if the request is refused
      */
     public Submission submit(EntryRequest request) {
         RequestId id = identity.requestIds().get();
@@ -109,14 +108,14 @@
     }
 
     /**
-     * A request that was taken.
+     * A submitted request.
      *
-     * @param id its name
+     * @param id its id
      * @param answer its answer; subscribing starts it, cancelling cancels it
      */
     public record Submission(RequestId id, Flux<AttemptSignal> answer) {}
 
-    /** Checks a request and runs it; refusals of the checks are counted here, those of the run where they arise. */
+    /** Checks a request and runs it. Refusals by the checks are counted here, refusals by the run where they occur. */
     private Flux<AttemptSignal> checkAndRun(RequestId id, EntryRequest request) {
         try {
             FleetConfiguration configuration = requireOpen();
@@ -138,12 +137,12 @@
                 limiter.end(account.id(), 0);
             });
         } catch (RefusedException e) {
-            events.requestRefused(e.refusal());
+            metrics.requestRefused(e.refusal());
             return Flux.error(e);
         }
     }
 
-    /** Returns the ticket that a request brings, or {@code null}. */
+    /** Returns the ticket of a request, or {@code null}. */
     private static Ticket ticket(EntryRequest request) {
         if (request.ticketText() == null) {
             return null;
@@ -163,7 +162,7 @@
         if (ticket.issuer().equals(identity.process())) {
             return ticketed.run(ticket, contentDigest(admitted.work()), coordinator.run(admitted));
         }
-        Refusal lost = Refusal.unknown(RefusalReason.TICKET_HOME_LOST);
+        Refusal issuerLost = Refusal.unknown(RefusalReason.TICKET_HOME_LOST);
         Flux<AttemptSignal> forwarded = forwarder
                 .forward(
                         admitted.id(),
@@ -172,12 +171,13 @@
                         admitted.deadline().withMargin(identity.clock()))
                 .concatMap(new ForwardedAnswer(admitted.id())::check)
                 .takeUntil(signal -> signal instanceof AttemptSignal.Completed)
-                .concatWith(Flux.error(lost::toException));
+                .concatWith(Flux.error(issuerLost::toException));
         return coordinator
                 .limits()
-                .endBy(forwarded, admitted.deadline(), () -> lost)
-                .onErrorMap(error -> RefusedException.refusalOf(error, lost).toException())
-                .doOnError(error -> events.requestRefused(((RefusedException) error).refusal()));
+                .endBy(forwarded, admitted.deadline(), () -> issuerLost)
+                .onErrorMap(
+                        error -> RefusedException.refusalOf(error, issuerLost).toException())
+                .doOnError(error -> metrics.requestRefused(((RefusedException) error).refusal()));
     }
 
     /**
@@ -186,8 +186,8 @@
      * @param id the request
      * @param ticketText its ticket
      * @param work what to run
-     * @param deadline when it must have ended, in the local clock
-     * @return its events, ending with the last
+     * @param deadline the time by which it must have ended, on the local clock
+     * @return its events up to the last
      */
     public Flux<AttemptSignal> runForwarded(RequestId id, String ticketText, Work work, Deadline deadline) {
         return Flux.defer(() -> {
@@ -209,7 +209,7 @@
         });
     }
 
-    /** Computes what makes two requests the same: account, service, call and body. */
+    /** Computes the digest that identifies equal requests, from account, service, call and body. */
     private static String contentDigest(Work work) {
         Hasher hasher = Hashing.sha256()
                 .newHasher()
@@ -220,7 +220,7 @@
         return hasher.putBytes(work.body()).hash().toString();
     }
 
-    /** Returns the configuration, or throws the refusal if this router takes no requests. */
+    /** Returns the configuration, or throws the refusal if this router accepts no requests. */
     private FleetConfiguration requireOpen() {
         RefusalReason closed = gate.closedReason();
         if (closed != null) {
@@ -230,7 +230,7 @@
     }
 
     /**
-     * Returns how many requests are in progress.
+     * Returns the number of requests in progress.
      *
      * @return the number
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestChecks.java
@@ -13,7 +13,7 @@
 import org.apricotstack.core.time.Deadline;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Checks a request against the configuration, apart from limits. Each failed check ends in a typed refusal. */
+/** Checks a request against the configuration, except for account limits. Each failed check throws a typed refusal. */
 final class RequestChecks {
 
     private final FleetConfiguration configuration;
@@ -37,8 +37,8 @@
 
     /** Returns the service, or throws the refusal. */
     Service service(ClientAccount account) {
-        boolean named = Names.isValid(request.service());
-        Service service = named ? configuration.service(new ServiceId(request.service())) : null;
+        boolean validName = Names.isValid(request.service());
+        Service service = validName ? configuration.service(new ServiceId(request.service())) : null;
         boolean allowed = service != null
                 && service.kind() == request.kind()
                 && account.services().contains(service.id());
@@ -62,26 +62,26 @@
         return Deadline.in(clock, millis);
     }
 
-    /** Reads the time limit that the caller stated. */
+    /** Parses the time limit that the caller sent. */
     private long parseTimeLimit(Service service) {
-        long most = service.maxTimeLimitMillis();
+        long maxMillis = service.maxTimeLimitMillis();
         try {
             long millis = Long.parseLong(request.timeLimitText().trim());
-            if (millis >= 1 && millis <= most) {
+            if (millis >= 1 && millis <= maxMillis) {
                 return millis;
             }
         } catch (NumberFormatException e) {
-            // Falls through to the same refusal as a number out of range.
+            // A malformed number gets the same refusal as a number out of range.
         }
-        throw Refusal.notRun(RefusalReason.INVALID_TIME_LIMIT, "Allowed: 1 to " + most + " milliseconds.")
+        throw Refusal.notRun(RefusalReason.INVALID_TIME_LIMIT, "Allowed: 1 to " + maxMillis + " milliseconds.")
                 .toException();
     }
 
-    /** Returns what is to be run, or throws the refusal. */
+    /** Returns the work to run, or throws the refusal. */
     Work work(ClientAccountId account, Service service) {
-        long mostAnswer = configuration.limits().maxAnswerTokens();
-        if (request.outputTokens() > mostAnswer) {
-            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "max_tokens may be at most " + mostAnswer + ".")
+        long maxAnswerTokens = configuration.limits().maxAnswerTokens();
+        if (request.outputTokens() > maxAnswerTokens) {
+            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "max_tokens may be at most " + maxAnswerTokens + ".")
                     .toException();
         }
         return new Work(
@@ -96,13 +96,13 @@
                 configuration.version());
     }
 
-    /** Returns the admitted request, or throws the refusal if no group could ever hold it. */
+    /** Returns the admitted request, or throws the refusal if no group has enough memory for it. */
     AdmittedRequest admitted(RequestId id, Work work, Service service, Deadline deadline) {
         AdmittedRequest admitted = new AdmittedRequest(
                 id, work, service, configuration.limits().lengthClass(work.promptTokens()), deadline, configuration);
-        boolean holdable = configuration.groups(service).stream()
+        boolean fits = configuration.groups(service).stream()
                 .anyMatch(group -> GroupFinder.canHold(configuration, group, admitted));
-        if (!holdable && !configuration.groups(service).isEmpty()) {
+        if (!fits && !configuration.groups(service).isEmpty()) {
             throw Refusal.notRun(RefusalReason.PROMPT_TOO_LONG, 0).toException();
         }
         return admitted;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestCoordinator.java
@@ -7,14 +7,17 @@
 import reactor.core.publisher.Flux;
 import reactor.core.scheduler.Scheduler;
 
-/** Runs admitted requests: chooses groups, follows attempts, repeats them where that is safe, and keeps time limits. */
+/**
+ * Runs admitted requests: chooses groups, dispatches attempts, retries them where that is safe, and enforces time
+ * limits.
+ */
 public final class RequestCoordinator {
 
     private final GroupFinder finder;
     private final AttemptDispatcher dispatcher;
     private final GroupLoadTable loads;
     private final RetryBudget budget;
-    private final EntryMetrics events;
+    private final EntryMetrics metrics;
     private final MonotonicClock clock;
     private final Scheduler timer;
     private final TimeLimits limits;
@@ -22,27 +25,27 @@
     /**
      * Creates a coordinator.
      *
-     * @param finder finds groups and owners
-     * @param dispatcher gives attempts to owners
-     * @param loads takes the loads that replies carry
-     * @param budget bounds retries
-     * @param events counters
+     * @param finder chooses groups and owners
+     * @param dispatcher dispatches attempts to owners
+     * @param loads records the loads that replies carry
+     * @param budget limits retries
+     * @param metrics counters
      * @param clock the local clock
-     * @param timer runs time limits
+     * @param timer runs the timers of time limits
      */
     public RequestCoordinator(
             GroupFinder finder,
             AttemptDispatcher dispatcher,
             GroupLoadTable loads,
             RetryBudget budget,
-            EntryMetrics events,
+            EntryMetrics metrics,
             MonotonicClock clock,
             Scheduler timer) {
         this.finder = finder;
         this.dispatcher = dispatcher;
         this.loads = loads;
         this.budget = budget;
-        this.events = events;
+        this.metrics = metrics;
         this.clock = clock;
         this.timer = timer;
         this.limits = new TimeLimits(clock, timer);
@@ -52,25 +55,24 @@
      * Runs a request.
      *
      * @param request the request
-     * @return heartbeats, head and pieces of the answer, ending with {@code Completed}; or an error with the
-     *     {@link org.apricotstack.core.failure.RefusedException} that the caller is told. Cancelling the subscription
-     *     cancels the work
+     * @return heartbeats, head and chunks of the answer, ending with {@code Completed}; or an error with the {@link
+     *     org.apricotstack.core.failure.RefusedException} for the caller. Cancelling the subscription cancels the work
      */
     public Flux<AttemptSignal> run(AdmittedRequest request) {
         return Flux.defer(() -> new RequestRun(this, request).signals());
     }
 
-    /** Returns what ends answers at their time limit. */
+    /** Returns the time limits. */
     TimeLimits limits() {
         return limits;
     }
 
-    /** Returns what finds groups and owners. */
+    /** Returns the group finder. */
     GroupFinder finder() {
         return finder;
     }
 
-    /** Returns what gives attempts to owners. */
+    /** Returns the dispatcher. */
     AttemptDispatcher dispatcher() {
         return dispatcher;
     }
@@ -80,14 +82,14 @@
         return loads;
     }
 
-    /** Returns the bound on retries. */
+    /** Returns the retry budget. */
     RetryBudget budget() {
         return budget;
     }
 
     /** Returns the counters. */
-    EntryMetrics events() {
-        return events;
+    EntryMetrics metrics() {
+        return metrics;
     }
 
     /** Returns the local clock. */
@@ -95,7 +97,7 @@
         return clock;
     }
 
-    /** Returns what runs time limits. */
+    /** Returns the timer. */
     Scheduler timer() {
         return timer;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/membership/WatchRings.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/membership/WatchRings.java
@@ -12,16 +12,16 @@
 import org.apricotstack.core.id.HostId;
 
 /**
- * Fixes which routers watch each other: the members of the roster are laid on several rings, each in another order,
- * and a router watches its successor on each.
+ * Determines which routers watch each other: the members of the roster form several rings, each in a different order,
+ * and a router watches its successor on each ring.
  *
- * <p>The number of neighbours is constant, so the cost of a router does not grow with the fleet, and the union of a
- * few random rings is an expander: news reaches every router in a number of steps that grows with the logarithm of
- * the fleet. The rings come from the published roster, so that no messages are needed to agree on them.
+ * <p>The number of neighbours is constant, so the cost per router does not grow with the fleet. The union of a few
+ * random rings is an expander graph: gossip reaches every router in a number of hops that is logarithmic in the size of
+ * the fleet. The rings are computed from the published roster, so no messages are needed to agree on them.
  */
 public final class WatchRings {
 
-    /** Rings, and so successors and predecessors of each router. */
+    /** Number of rings, and therefore of successors and of predecessors of each router. */
     public static final int RINGS = 4;
 
     private WatchRings() {}
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Lists the routers to which news is told at once.
+     * Lists the routers to which updates are sent immediately.
      *
      * @param roster all routers
      * @param self the router
@@ -49,32 +49,32 @@
     }
 
     /** Collects the neighbours over all rings. */
-    private static List<HostId> neighbours(Collection<HostId> roster, HostId self, boolean predecessorsToo) {
+    private static List<HostId> neighbours(Collection<HostId> roster, HostId self, boolean includePredecessors) {
         Set<HostId> result = new LinkedHashSet<>();
         for (int ring = 0; ring < RINGS; ring++) {
             List<HostId> order = ring(roster, ring);
-            int at = order.indexOf(self);
-            if (at < 0) {
+            int index = order.indexOf(self);
+            if (index < 0) {
                 continue;
             }
-            result.add(order.get((at + 1) % order.size()));
-            if (predecessorsToo) {
-                result.add(order.get((at + order.size() - 1) % order.size()));
+            result.add(order.get((index + 1) % order.size()));
+            if (includePredecessors) {
+                result.add(order.get((index + order.size() - 1) % order.size()));
             }
         }
         result.remove(self);
         return new ArrayList<>(result);
     }
 
-    /** Orders the roster for one ring; the place of each host is computed once. */
+    /** Orders the roster for one ring; the position of each host is computed once. */
     private static List<HostId> ring(Collection<HostId> roster, int ring) {
-        List<Placed> placed = new ArrayList<>(roster.size());
-        roster.forEach(host -> placed.add(new Placed(position(host, ring), host)));
-        placed.sort(Comparator.comparingLong(Placed::position).thenComparing(Placed::host));
-        return placed.stream().map(Placed::host).toList();
+        List<RingMember> members = new ArrayList<>(roster.size());
+        roster.forEach(host -> members.add(new RingMember(position(host, ring), host)));
+        members.sort(Comparator.comparingLong(RingMember::position).thenComparing(RingMember::host));
+        return members.stream().map(RingMember::host).toList();
     }
 
-    /** Returns the place of a host on a ring. */
+    /** Returns the position of a host on a ring. */
     private static long position(HostId host, int ring) {
         return Hashing.murmur3_128(ring)
                 .hashString(host.value(), StandardCharsets.UTF_8)
@@ -84,8 +84,8 @@
     /**
      * A host on a ring.
      *
-     * @param position its place
+     * @param position its position
      * @param host the host
      */
-    private record Placed(long position, HostId host) {}
+    private record RingMember(long position, HostId host) {}
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/OwnerService.java
@@ -29,19 +29,19 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * The groups whose work this router runs.
+ * The groups that this router owns.
  *
- * <p>Any group that a peer sends work for is taken on: the sender decides who the owner is, by its own picture of the
- * routers, and a refusal because of another picture would only cost time.
+ * <p>Attempts of any group are accepted: the sender determines the owner from its own membership view, and a refusal
+ * because of a different view would only cost time.
  */
 public final class OwnerService {
 
     private final Map<GroupId, GroupOwner> owners = new ConcurrentHashMap<>();
-    private final TakenOnce takenOnce;
+    private final DuplicateAttemptFilter duplicates;
     private final Supplier<FleetConfiguration> configuration;
     private final Supplier<Set<UpstreamId>> leaving;
     private final UpstreamGateway gateway;
-    private final OwnerMetrics events;
+    private final OwnerMetrics metrics;
     private final MonotonicClock clock;
     private final Scheduler timer;
 
@@ -51,7 +51,7 @@
      * @param configuration the configuration in force, {@code null} before the first
      * @param leaving upstreams that the platform lists as leaving
      * @param gateway the upstreams
-     * @param events counters
+     * @param metrics counters
      * @param clock the local clock
      * @param timer runs retries of releases
      */
@@ -59,15 +59,15 @@
             Supplier<FleetConfiguration> configuration,
             Supplier<Set<UpstreamId>> leaving,
             UpstreamGateway gateway,
-            OwnerMetrics events,
+            OwnerMetrics metrics,
             MonotonicClock clock,
             Scheduler timer) {
         this.configuration = configuration;
         this.leaving = leaving;
         this.gateway = gateway;
-        this.events = events;
+        this.metrics = metrics;
         this.clock = clock;
-        this.takenOnce = new TakenOnce(clock);
+        this.duplicates = new DuplicateAttemptFilter(clock);
         this.timer = timer;
     }
 
@@ -82,26 +82,26 @@
         Group group = current == null ? null : current.group(command.group());
         if (group == null) {
             RefusalReason reason = current == null ? RefusalReason.NO_CONFIGURATION : RefusalReason.NO_GROUP;
-            events.attemptRefused(reason);
+            metrics.attemptRefused(reason);
             return Flux.just(AttemptEvent.refused(command.attempt(), Refusal.notRun(reason, 0), null));
         }
-        if (!takenOnce.take(command)) {
-            events.attemptRefused(RefusalReason.DUPLICATE_ATTEMPT);
+        if (!duplicates.tryAccept(command)) {
+            metrics.attemptRefused(RefusalReason.DUPLICATE_ATTEMPT);
             Refusal refusal = Refusal.unknown(RefusalReason.DUPLICATE_ATTEMPT);
             return Flux.just(AttemptEvent.refused(command.attempt(), refusal, null));
         }
         Service service = current.service(command.work().service());
         int priority = service == null ? Service.LEAST_URGENT : service.priority();
         LengthClass lengthClass = current.limits().lengthClass(command.work().promptTokens());
-        QueuedAttempt item = new QueuedAttempt(command, lengthClass, priority, clock.nanos());
-        return owner(current, group).dispatch(item);
+        QueuedAttempt queued = new QueuedAttempt(command, lengthClass, priority, clock.nanos());
+        return owner(current, group).dispatch(queued);
     }
 
     /** Returns the owner of a group, created on the first use. */
     private GroupOwner owner(FleetConfiguration current, Group group) {
         return owners.computeIfAbsent(group.id(), id -> {
             SchedulerOptions options = options(current, group);
-            GroupOwner owner = new GroupOwner(new GroupScheduler(id, options, clock), gateway, events, clock, timer);
+            GroupOwner owner = new GroupOwner(new GroupScheduler(id, options, clock), gateway, metrics, clock, timer);
             owner.update(options, current.upstreams(id), leaving.get());
             return owner;
         });
@@ -118,7 +118,7 @@
                 plain ? new LeastInFlightUpstreamChooser() : new LeastFirstTokenUpstreamChooser());
     }
 
-    /** Takes a new configuration or list of leaving upstreams into all groups. */
+    /** Applies a new configuration or list of leaving upstreams to all groups. */
     public void refresh() {
         FleetConfiguration current = configuration.get();
         if (current == null) {
@@ -136,14 +136,14 @@
         });
     }
 
-    /** Looks after time limits and silent streams; to be called every few tens of milliseconds. */
+    /** Enforces time limits and ends silent streams; to be called every few tens of milliseconds. */
     public void tick() {
         owners.values().forEach(GroupOwner::tick);
     }
 
-    /** Forgets what needs no memory any more; to be called every few seconds. */
+    /** Evicts expired records of attempts; to be called every few seconds. */
     public void evictExpired() {
-        takenOnce.evictExpired();
+        duplicates.evictExpired();
     }
 
     /** Sends a heartbeat on each stream. */
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Returns how many attempts wait or run here.
+     * Returns the number of queued and running attempts.
      *
      * @return the number over all groups
      */
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Returns the groups that have or had work here.
+     * Returns the groups that have or had attempts here.
      *
      * @return owners by group
      */
--- a/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/peer/RequestRate.java
@@ -1,26 +1,26 @@
 package org.apricotstack.core.peer;
 
 /**
- * How many requests a second a router takes: rises at once, falls slowly.
+ * Requests per second of a router; the rate rises at once and decays slowly.
  *
- * <p>The number of routers that take callers follows this rate. Were it to fall as fast as it rises, callers would be
- * sent away from routers between two bursts, and come back to boards that know nothing.
+ * <p>The number of active routers depends on this rate. If it fell as fast as it rises, callers would be moved away
+ * from routers between two bursts and return to routers whose load tables are empty.
  */
 public final class RequestRate {
 
-    /** Time in which the rate falls to a third, in milliseconds: longer than callers usually keep addresses. */
-    static final double FALL_MILLIS = 10_000;
+    /** Time constant of the decay, in milliseconds; longer than callers usually cache addresses. */
+    static final double DECAY_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private long count;
+    private long requestCount;
     private long sinceMillis;
     private double perSecond;
 
     /**
-     * Starts to count.
+     * Starts the first interval.
      *
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public RequestRate(long nowMillis) {
         this.sinceMillis = nowMillis;
@@ -28,30 +28,30 @@
 
     /** Counts a request. */
     public void count() {
-        count++;
+        requestCount++;
     }
 
     /**
-     * Ends a span of time and returns the rate.
+     * Ends an interval and returns the rate.
      *
-     * @param nowMillis the time
-     * @return requests a second, of this span or, if that was more, what is left of earlier ones
+     * @param nowMillis the current time
+     * @return requests per second: the rate of this interval or the decayed earlier rate, whichever is higher
      */
     public double endInterval(long nowMillis) {
-        long spanMillis = nowMillis - sinceMillis;
-        if (spanMillis > 0) {
-            double spanRate = count * MILLIS_PER_SECOND / spanMillis;
-            perSecond = Math.max(spanRate, perSecond * Math.exp(-spanMillis / FALL_MILLIS));
-            count = 0;
+        long intervalMillis = nowMillis - sinceMillis;
+        if (intervalMillis > 0) {
+            double intervalRate = requestCount * MILLIS_PER_SECOND / intervalMillis;
+            perSecond = Math.max(intervalRate, perSecond * Math.exp(-intervalMillis / DECAY_MILLIS));
+            requestCount = 0;
             sinceMillis = nowMillis;
         }
         return perSecond;
     }
 
     /**
-     * Returns the rate at the end of the last span.
+     * Returns the rate at the end of the last interval.
      *
-     * @return requests a second
+     * @return requests per second
      */
     public double perSecond() {
         return perSecond;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/routing/EntryRouterSelector.java
@@ -12,51 +12,51 @@
 import org.apricotstack.core.membership.RosterHost;
 
 /**
- * Chooses the routers that callers are told to connect to: those of the own data centre first, each caller its own
- * order, so that callers spread over the routers and find the same ones again.
+ * Selects the routers that a caller is told to connect to. Routers of this data centre come first, and each caller gets
+ * its own stable order, so that callers are spread over the routers and return to the same ones.
  */
 public final class EntryRouterSelector {
 
     private final DataCentreId ownDataCentre;
     private final Predicate<HostId> serves;
-    private final int most;
+    private final int maxRouters;
 
     /**
-     * Creates the choice.
+     * Creates a selector.
      *
-     * @param ownDataCentre the data centre of the router that answers
+     * @param ownDataCentre the data centre of this router
      * @param serves tells whether a router is known to serve
-     * @param most routers named at most
+     * @param maxRouters maximum number of routers in an answer
      */
-    public EntryRouterSelector(DataCentreId ownDataCentre, Predicate<HostId> serves, int most) {
+    public EntryRouterSelector(DataCentreId ownDataCentre, Predicate<HostId> serves, int maxRouters) {
         this.ownDataCentre = ownDataCentre;
         this.serves = serves;
-        this.most = most;
+        this.maxRouters = maxRouters;
     }
 
     /**
-     * Names routers for a caller.
+     * Selects routers for a caller.
      *
-     * <p>While no router is known to serve, as when all have just started, all usable ones are named: a caller that is
-     * told nothing cannot even ask again.
+     * <p>While no router is known to serve, as when all have just started, all usable routers are selected: a caller
+     * that gets no addresses has no router to ask again.
      *
-     * @param view the picture of the routers
-     * @param callerIp the caller's address
+     * @param view the membership view
+     * @param callerIp the caller's IP address
      * @return the routers, best first
      */
     public List<HostId> select(MemberView view, String callerIp) {
         Set<HostId> ordered = new LinkedHashSet<>(order(view.usable(ownDataCentre), callerIp, view));
         ordered.addAll(order(view.usable(), callerIp, view));
-        List<HostId> serving = ordered.stream().filter(serves).limit(most).toList();
-        return serving.isEmpty() ? new ArrayList<>(ordered).subList(0, Math.min(most, ordered.size())) : serving;
+        List<HostId> serving = ordered.stream().filter(serves).limit(maxRouters).toList();
+        return serving.isEmpty() ? new ArrayList<>(ordered).subList(0, Math.min(maxRouters, ordered.size())) : serving;
     }
 
-    /** Orders hosts for a caller; suspects are left out, as the others are many. */
+    /** Orders hosts for a caller; suspects are left out, because enough others remain. */
     private static List<HostId> order(List<RosterHost> hosts, String callerIp, MemberView view) {
-        List<HostId> sound = hosts.stream()
+        List<HostId> healthy = hosts.stream()
                 .map(RosterHost::id)
                 .filter(host -> !view.suspects().contains(host))
                 .toList();
-        return Rendezvous.order("caller/" + callerIp, sound);
+        return Rendezvous.order("caller/" + callerIp, healthy);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ArchitectureTest.java
@@ -7,12 +7,14 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
-/** The core decides; it does no input or output and reads no clock of the machine. */
+/**
+ * Checks that the core contains only decisions: no input or output, no system clock, and no unseeded random numbers.
+ */
 @AnalyzeClasses(packages = "org.apricotstack.core", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
     @ArchTest
-    static final ArchRule SEES_NO_ADAPTER_LIBRARY = noClasses()
+    static final ArchRule DEPENDS_ON_NO_ADAPTER_LIBRARY = noClasses()
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -38,7 +40,7 @@
             .haveFullyQualifiedName("java.time.Clock");
 
     @ArchTest
-    static final ArchRule DRAWS_NO_UNSEEDED_NUMBERS = noClasses()
+    static final ArchRule USES_NO_UNSEEDED_RANDOM_NUMBERS = noClasses()
             .should()
             .dependOnClassesThat()
             .haveFullyQualifiedName("java.util.concurrent.ThreadLocalRandom")
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/FleetScheduleTest.java
@@ -8,34 +8,33 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: a request hangs past its time limit, an answer is cut or mixed up, a call that must not be repeated runs
- * twice, a refusal says "not run" of a call that ran, or an engine holds memory for nobody.
+ * Checks that no request hangs past its time limit, no answer is incomplete or mixed up, no call that must not be
+ * repeated runs twice, no call that ran is refused as not run, and no engine holds orphaned memory.
  *
- * <p>Sequence of events: routers are killed and restarted with an empty memory, paused and woken late, cut off from
- * each other without a word; requests are delivered twice; upstreams refuse, break, cut, cross and go silent;
- * callers ask again with the same ticket at other routers. All of it at random moments, from a seed.
+ * <p>At random moments that a seed determines, routers are killed and restarted without state, paused and resumed late,
+ * and silently partitioned from each other; requests are delivered twice; upstreams refuse, fail, send incomplete or
+ * mixed-up answers and go silent; callers repeat requests with the same ticket at other routers.
  *
- * <p>Cause to be excluded: any decision that rests on another process still being there, or on a message having
- * arrived.
+ * <p>The test fails if a decision relies on another process being alive or on a message having arrived.
  */
 class FleetScheduleTest {
 
     private static final int BLOCK = 500;
     private static final int BLOCKS = 20;
     private static final int STEPS = 60;
-    private static final double FAULTS = 0.3;
+    private static final double FAULT_SHARE = 0.3;
 
-    /** Blocks of seeds; 10,000 schedules in all. */
+    /** Blocks of seeds; 10,000 schedules in total. */
     static LongStream blocks() {
         return LongStream.range(0, BLOCKS);
     }
 
     @ParameterizedTest
     @MethodSource("blocks")
-    void keepsItsPromisesUnderAllFaultsTogether(long block) {
+    void keepsItsGuaranteesUnderCombinedFaults(long block) {
         for (long seed = block * BLOCK; seed < (block + 1) * BLOCK; seed++) {
             SeededFleet fleet = new SeededFleet(seed);
-            fleet.run(STEPS, FAULTS);
+            fleet.run(STEPS, FAULT_SHARE);
             for (FleetCall call : fleet.calls()) {
                 check(seed, fleet, call);
             }
@@ -50,10 +49,10 @@
     void endsEachRequestWithinItsTimeLimit(long block) {
         for (long seed = block * BLOCK; seed < block * BLOCK + BLOCK / 5; seed++) {
             SeededFleet fleet = new SeededFleet(seed);
-            fleet.withoutPauses();
-            fleet.run(STEPS, FAULTS);
+            fleet.disablePauses();
+            fleet.run(STEPS, FAULT_SHARE);
             for (FleetCall call : fleet.calls()) {
-                assertThat(call.lateMillis())
+                assertThat(call.overtimeMillis())
                         .as("time over the limit of %s, seed %d", call.body(), seed)
                         .isLessThanOrEqualTo(0);
             }
@@ -67,15 +66,15 @@
         if (call.isTicketed()) {
             assertThat(runs).as("runs of %s, seed %d", call.body(), seed).isLessThanOrEqualTo(1);
         }
-        if (call.wasToldNotRun()) {
+        if (call.wasReportedNotRun()) {
             assertThat(runs)
-                    .as("%s was told %s, seed %d", call.body(), call.refusal(), seed)
+                    .as("%s was refused with %s, seed %d", call.body(), call.refusal(), seed)
                     .isZero();
         }
         if (call.isCompleted()) {
             assertThat(call.answer())
                     .as("answer of %s, seed %d", call.body(), seed)
-                    .isEqualTo(call.truth());
+                    .isEqualTo(call.expectedAnswer());
         }
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
@@ -29,33 +29,30 @@
 import reactor.core.publisher.Mono;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/**
- * All upstreams of a seeded schedule: they count what was run by the body of the request, hold memory, and fail at
- * random.
- */
+/** All upstreams of a seeded schedule. They count the runs per request body, hold memory, and fail at random. */
 final class LedgerUpstreams {
 
-    /** Pieces of each answer. */
-    static final int PIECES = 5;
+    /** Number of chunks of each answer. */
+    static final int CHUNKS = 5;
 
     private final VirtualTimeScheduler time;
     private final Random random;
     private final Map<String, Integer> runs = new HashMap<>();
     private final Map<String, Held> held = new TreeMap<>();
     private final Set<UpstreamId> leaving = new HashSet<>();
-    private double faults;
+    private double faultShare;
 
     LedgerUpstreams(VirtualTimeScheduler time, Random random) {
         this.time = time;
         this.random = random;
     }
 
-    /** Sets the share of attempts that meet a fault. */
+    /** Sets the share of attempts that fail. */
     void setFaults(double share) {
-        faults = share;
+        faultShare = share;
     }
 
-    /** Lets an upstream leave: it refuses new work by its own word. */
+    /** Makes an upstream leave: it refuses new work itself. */
     void leave(UpstreamId upstream) {
         leaving.add(upstream);
     }
@@ -65,13 +62,13 @@
         return runs.getOrDefault(body, 0);
     }
 
-    /** Returns what engines still hold; plain services hold no memory. */
+    /** Returns the memory that engines still hold; plain services hold none. */
     List<String> held() {
         return held.keySet().stream().filter(name -> name.startsWith("m-")).toList();
     }
 
-    /** Returns the piece of the true answer at a place. */
-    static String piece(String body, long index) {
+    /** Returns the correct chunk of an answer at an index. */
+    static String chunk(String body, long index) {
         return body + "#" + index + ";";
     }
 
@@ -85,14 +82,14 @@
                 TimeUnit.MILLISECONDS));
     }
 
-    /** Takes an attempt that arrived, whatever has become of its owner meanwhile. */
+    /** Accepts an attempt, even if its owner has died since it was sent. */
     private void arrive(Job job) {
         if (leaving.contains(job.upstream)) {
             job.fail(Refusal.notRun(RefusalReason.UPSTREAM_LEAVING, 0));
             return;
         }
-        double fate = random.nextDouble();
-        if (fate < faults / 4) {
+        double draw = random.nextDouble();
+        if (draw < faultShare / 4) {
             job.fail(Refusal.notRun(RefusalReason.UPSTREAM_REFUSED, 0));
             return;
         }
@@ -100,48 +97,49 @@
         runs.merge(body, 1, Integer::sum);
         String name = job.upstream + "/" + job.command.attempt();
         held.put(name, new Held(job.owner, time.now(TimeUnit.MILLISECONDS), job.remainingMillis));
-        Fate drawn = Fate.NONE;
-        if (fate < faults) {
-            drawn = Fate.values()[1 + random.nextInt(Fate.values().length - 1)];
+        Fault fault = Fault.NONE;
+        if (draw < faultShare) {
+            fault = Fault.values()[1 + random.nextInt(Fault.values().length - 1)];
         }
-        step(job, body, name, job.command.resumeOffset(), drawn);
+        sendChunk(job, body, name, job.command.resumeOffset(), fault);
     }
 
-    /** Sends one piece and schedules the next. */
-    private void step(Job job, String body, String name, long index, Fate fate) {
+    /** Sends one chunk and schedules the next. */
+    private void sendChunk(Job job, String body, String name, long index, Fault fault) {
         if (!held.containsKey(name)) {
             return;
         }
-        boolean half = index >= PIECES / 2;
-        if (half && fate == Fate.SILENT) {
+        boolean halfSent = index >= CHUNKS / 2;
+        if (halfSent && fault == Fault.SILENT) {
             return;
         }
-        if (half && fate == Fate.CUT) {
+        if (halfSent && fault == Fault.CUT) {
             held.remove(name);
             job.complete();
             return;
         }
-        if (half && fate == Fate.BROKEN) {
+        if (halfSent && fault == Fault.BROKEN) {
             job.fail(Refusal.unknown(RefusalReason.UPSTREAM_FAILED));
             return;
         }
         AttemptId id = job.command.attempt();
-        if (index == PIECES) {
+        if (index == CHUNKS) {
             held.remove(name);
-            job.emit(new AttemptEvent(id, new AttemptSignal.Completed(PIECES, 1, 0, "stop")));
+            job.emit(new AttemptEvent(id, new AttemptSignal.Completed(CHUNKS, 1, 0, "stop")));
             job.complete();
             return;
         }
-        AttemptId named = half && fate == Fate.CROSSED ? new AttemptId(id.request(), id.number() + 7) : id;
-        byte[] data = piece(body, index).getBytes(StandardCharsets.UTF_8);
-        job.emit(new AttemptEvent(named, new AttemptSignal.Chunk(index, 1, data)));
-        time.schedule(() -> step(job, body, name, index + 1, fate), 1 + random.nextInt(60), TimeUnit.MILLISECONDS);
+        AttemptId statedId = halfSent && fault == Fault.CROSSED ? new AttemptId(id.request(), id.number() + 7) : id;
+        byte[] data = chunk(body, index).getBytes(StandardCharsets.UTF_8);
+        job.emit(new AttemptEvent(statedId, new AttemptSignal.Chunk(index, 1, data)));
+        time.schedule(
+                () -> sendChunk(job, body, name, index + 1, fault), 1 + random.nextInt(60), TimeUnit.MILLISECONDS);
     }
 
-    /** Releases what an upstream holds for an attempt. */
+    /** Releases the memory that an upstream holds for an attempt. */
     Mono<Void> release(Upstream upstream, AttemptId attempt) {
         return Mono.defer(() -> {
-            if (random.nextDouble() < faults) {
+            if (random.nextDouble() < faultShare) {
                 return Mono.error(new IllegalStateException("release lost"));
             }
             held.remove(upstream.id() + "/" + attempt);
@@ -149,7 +147,7 @@
         });
     }
 
-    /** Lists what an upstream holds. */
+    /** Lists the memory that an upstream holds. */
     Mono<List<HeldStream>> list(Upstream upstream) {
         return Mono.fromSupplier(() -> {
             List<HeldStream> list = new ArrayList<>();
@@ -164,13 +162,13 @@
         });
     }
 
-    /** Says that an engine is what it should be; orders are not part of these schedules. */
+    /** Reports no state, so that no engine is sent an order; orders are not part of these schedules. */
     Mono<DesiredUpstreamState> state(Upstream upstream) {
         return Mono.empty();
     }
 
-    /** What goes wrong with an attempt after it was taken. */
-    private enum Fate {
+    /** The fault of an attempt after it was accepted. */
+    private enum Fault {
         NONE,
         SILENT,
         CUT,
@@ -179,10 +177,10 @@
     }
 
     /**
-     * Memory that is held.
+     * Held memory.
      *
-     * @param owner the owner process that asked
-     * @param sinceMillis since when
+     * @param owner the owner process that requested it
+     * @param sinceMillis the time since when it is held
      * @param limitMillis the time limit that came with it
      */
     private record Held(ProcessId owner, long sinceMillis, long limitMillis) {}
@@ -195,7 +193,7 @@
      * @param command the attempt
      * @param upstream the upstream
      * @param remainingMillis the time limit
-     * @param sink takes the events
+     * @param sink receives the events
      */
     private record Job(
             ProcessId owner,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/QuietEvents.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/NoMetrics.java
@@ -9,8 +9,8 @@
 import org.apricotstack.core.routing.GroupChoice;
 import org.apricotstack.core.stream.StreamVerdict;
 
-/** Counters that count nothing. */
-public class QuietEvents implements EntryMetrics, OwnerMetrics {
+/** Metrics that record nothing. */
+public class NoMetrics implements EntryMetrics, OwnerMetrics {
 
     @Override
     public void requestRefused(Refusal refusal) {}
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/SeededFleet.java
@@ -26,8 +26,8 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * A seeded schedule of a few routers, upstreams and callers in virtual time, with pauses, deaths, cuts, duplicates
- * and failing upstreams. Equal seeds give equal schedules.
+ * A seeded schedule of a few routers, upstreams and callers in virtual time, with pauses, crashes, network partitions,
+ * duplicated messages and failing upstreams. Equal seeds give equal schedules.
  */
 final class SeededFleet {
 
@@ -45,7 +45,7 @@
     private final List<FleetCall> calls = new ArrayList<>();
     private final Roster roster;
     private long incarnations = 1;
-    private boolean pauses = true;
+    private boolean pausesEnabled = true;
 
     SeededFleet(long seed) {
         random = new Random(seed);
@@ -69,11 +69,14 @@
         int index = Integer.parseInt(host.value().substring(1));
         FleetNode node = new FleetNode(new ProcessId(host, incarnations++), dataCentre(index), this, time);
         nodes.put(host, node);
-        nodes.values().forEach(other -> other.hear(node.process()));
-        nodes.values().forEach(other -> node.hear(other.process()));
+        nodes.values().forEach(other -> other.addAlive(node.process()));
+        nodes.values().forEach(other -> node.addAlive(other.process()));
     }
 
-    /** Runs a schedule: random calls and faults for some steps, then peace until all has ended. */
+    /**
+     * Runs a schedule: random calls and faults for a number of steps, then a fault-free period until everything has
+     * ended.
+     */
     void run(int steps, double faultShare) {
         upstreams.setFaults(faultShare / 2);
         network.duplicate(faultShare / 2);
@@ -82,7 +85,7 @@
                 call();
             }
             if (random.nextDouble() < faultShare) {
-                fault();
+                injectFault();
             }
             time.advanceTimeBy(Duration.ofMillis(STEP_MILLIS));
         }
@@ -93,9 +96,9 @@
         time.advanceTimeBy(LedgerUpstreams.longestLimit().multipliedBy(4));
     }
 
-    /** Leaves pauses out, so that each end can be held against its time limit. */
-    void withoutPauses() {
-        pauses = false;
+    /** Disables pauses, so that each call must end within its time limit. */
+    void disablePauses() {
+        pausesEnabled = false;
     }
 
     /** Sends a call of a random kind to a random router. */
@@ -103,11 +106,11 @@
         boolean ticketed = random.nextBoolean();
         FleetCall call = new FleetCall(this, "call" + calls.size(), ticketed);
         calls.add(call);
-        call.begin();
+        call.start();
     }
 
-    /** Lets one thing go wrong, or come right again. */
-    private void fault() {
+    /** Injects one random fault, or ends one. */
+    private void injectFault() {
         FleetNode node = randomNode();
         switch (random.nextInt(5)) {
             case 0 -> {
@@ -115,7 +118,7 @@
                 start(node.process().host());
             }
             case 1 -> {
-                if (!pauses) {
+                if (!pausesEnabled) {
                     return;
                 }
                 node.timer().pause();
@@ -132,12 +135,12 @@
         return nodes.values().stream().skip(index).findFirst().orElseThrow();
     }
 
-    /** Returns the process that lives on a host now. */
+    /** Returns the process that currently runs on a host. */
     FleetNode node(HostId host) {
         return nodes.get(host);
     }
 
-    /** Returns a process if it still lives. */
+    /** Returns a process if it is still alive, else {@code null}. */
     FleetNode nodeOf(ProcessId process) {
         FleetNode node = nodes.get(process.host());
         return node != null && node.process().equals(process) ? node : null;
@@ -147,7 +150,7 @@
         return MemberView.of(1, roster, table);
     }
 
-    /** Makes a request with a body of its own. */
+    /** Creates a request with the given body. */
     static EntryRequest request(String body, String ticket) {
         boolean plain = ticket != null;
         return new EntryRequest(
@@ -155,7 +158,7 @@
                 plain ? ServiceKind.PLAIN : ServiceKind.COMPLETION,
                 plain ? "confirm" : "answer",
                 plain ? 0 : 100,
-                plain ? 0 : LedgerUpstreams.PIECES,
+                plain ? 0 : LedgerUpstreams.CHUNKS,
                 List.of(),
                 body.getBytes(StandardCharsets.UTF_8),
                 plain ? new PlainCall("POST", "/run", List.of()) : null,
--- a/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/membership/ServingHostsTest.java
@@ -23,15 +23,12 @@
     private final MembershipTable table = new MembershipTable(new ProcessId(SELF, 1), 1_000);
 
     /**
-     * Symptom: a request ends as not run (no_configuration) although other routers would have served it.
-     *
-     * <p>Sequence of events: a router starts and answers probes before it has a configuration; an entry answer names
-     * it; a caller connects there.
-     *
-     * <p>Cause: whoever answered probes was taken for a router that serves.
+     * Guards against requests that are refused as not run (no_configuration) although other routers would have served
+     * them. Every router that answered probes was listed for callers, but a router that has just started answers probes
+     * before it has a configuration.
      */
     @Test
-    void countsARouterOnlyWhenItSaidThatItServes() {
+    void countsOnlyRoutersThatReportedThatTheyServe() {
         serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 7)).isFalse();
         serving.recordStatus(new ProcessId(OTHER, 7), true);
@@ -39,20 +36,20 @@
     }
 
     @Test
-    void takesTheWordBackWhenTheHostStartsAgain() {
+    void restartInvalidatesTheReport() {
         serving.recordStatus(new ProcessId(OTHER, 7), true);
         assertThat(serving.serves(OTHER, 8)).isFalse();
     }
 
     @Test
-    void ignoresTheLateWordOfAnEarlierProcess() {
+    void ignoresALateReportOfAnEarlierProcess() {
         serving.recordStatus(new ProcessId(OTHER, 8), true);
         serving.recordStatus(new ProcessId(OTHER, 7), false);
         assertThat(serving.serves(OTHER, 8)).isTrue();
     }
 
     @Test
-    void asksAllUnheardRoutersInTurn() {
+    void probesAllUnconfirmedRoutersInTurn() {
         TreeMap<HostId, RosterHost> routers = new TreeMap<>();
         for (int i = 0; i < 9; i++) {
             HostId host = new HostId("router-" + i);
@@ -60,11 +57,11 @@
         }
         MemberView view = MemberView.of(1, new Roster(1, routers, Set.of()), table);
         serving.recordStatus(new ProcessId(OTHER, 1), true);
-        Set<HostId> asked = new HashSet<>();
+        Set<HostId> probed = new HashSet<>();
         for (int turn = 0; turn < 2; turn++) {
             List<RosterHost> picked = serving.unconfirmed(view, table, turn, 4);
-            picked.forEach(host -> asked.add(host.id()));
+            picked.forEach(host -> probed.add(host.id()));
         }
-        assertThat(asked).hasSize(8).doesNotContain(OTHER);
+        assertThat(probed).hasSize(8).doesNotContain(OTHER);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PeerTableTest.java
@@ -36,24 +36,24 @@
                 nextMillis);
     }
 
-    private List<String> named(DataCentreId dataCentre, long nowMillis) {
+    private List<String> callerIps(DataCentreId dataCentre, long nowMillis) {
         return table.callerAddresses(null, dataCentre, 64, nowMillis).stream()
                 .map(Address::ip)
                 .toList();
     }
 
     @Test
-    void namesTheOwnDataCentreWhileTwoAreThere() {
+    void prefersTheOwnDataCentreWhileItHasTwoRouters() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, true), 0);
         table.recordHeartbeat(peer(3, 1, WEST, true), 0);
-        assertThat(named(EAST, 0)).containsExactly("127.0.0.1", "127.0.0.2");
-        assertThat(named(WEST, 0)).containsExactly("127.0.0.1", "127.0.0.2", "127.0.0.3");
-        assertThat(named(null, 0)).hasSize(3);
+        assertThat(callerIps(EAST, 0)).containsExactly("127.0.0.1", "127.0.0.2");
+        assertThat(callerIps(WEST, 0)).containsExactly("127.0.0.1", "127.0.0.2", "127.0.0.3");
+        assertThat(callerIps(null, 0)).hasSize(3);
     }
 
     @Test
-    void countsRoutersThatFellSilentAndNotThoseThatSaidThatTheyStop() {
+    void countsSilentRoutersButNotThoseThatAnnouncedTheirStop() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, false), 0);
         table.recordHeartbeat(peer(3, 1, EAST, true), 1_000);
@@ -62,75 +62,75 @@
     }
 
     @Test
-    void namesNeitherSilentRoutersNorThoseThatAreNotReady() {
+    void leavesOutRoutersThatAreSilentOrNotReady() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.recordHeartbeat(peer(2, 1, EAST, true), 1_000);
         table.recordHeartbeat(peer(3, 1, EAST, false), 1_000);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.2");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.2");
     }
 
     /**
-     * Symptom: a restarted router was not named for minutes. Sequence: its time of day jumped back before it started
-     * again, so its new incarnation is a smaller number. Cause: heartbeats of smaller incarnations were dropped.
+     * Guards against a restarted router that callers are not sent to for minutes: its wall clock jumped back before the
+     * restart, so its new incarnation is smaller, and heartbeats of smaller incarnations were dropped.
      */
     @Test
-    void takesARestartedRouterWhateverItsTimeOfDay() {
+    void acceptsARestartedRouterWhoseWallClockJumpedBack() {
         table.recordHeartbeat(peer(1, 500, EAST, true), 0);
         ProcessId before = table.recordHeartbeat(peer(1, 400, EAST, true), 5_000);
         assertThat(before.incarnation()).isEqualTo(500);
-        assertThat(named(EAST, 5_000)).containsExactly("127.0.0.1");
+        assertThat(callerIps(EAST, 5_000)).containsExactly("127.0.0.1");
     }
 
     @Test
-    void givesUpPlacementsLaterThanTheName() {
+    void removesPlacementsLaterThanCallerAddresses() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         assertThat(table.expire(PeerTable.SUSPECT_MILLIS)).isEmpty();
-        assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).hasSize(1);
+        assertThat(table.expire(PeerTable.DEAD_MILLIS + 1)).hasSize(1);
         assertThat(table.addresses()).hasSize(1);
         table.expire(PeerTable.FORGET_MILLIS + 1);
         assertThat(table.addresses()).isEmpty();
     }
 
     @Test
-    void suspectsARouterWhoseConnectionEndedUntilItIsHeard() {
+    void suspectsARouterWithALostConnectionUntilItsNextHeartbeat() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.connectionLost(new Address("127.0.0.1", 90), 10);
-        assertThat(named(EAST, 10)).isEmpty();
+        assertThat(callerIps(EAST, 10)).isEmpty();
         assertThat(table.expire(10)).isEmpty();
         table.recordHeartbeat(peer(1, 1, EAST, true), 20);
-        assertThat(named(EAST, 20)).hasSize(1);
+        assertThat(callerIps(EAST, 20)).hasSize(1);
     }
 
     /**
-     * Symptom: in a fleet of 58 hosts sound routers were not named by turns. Sequence: heartbeats are sent more seldom
-     * the more routers there are. Cause: the silence that makes a router suspected did not grow with them.
+     * Guards against healthy routers of a fleet of 58 hosts that were suspected from time to time: heartbeat intervals
+     * grow with the fleet, but the silence after which a router is suspected did not.
      */
     @Test
-    void waitsLongerForHeartbeatsThatAreSeldom() {
+    void waitsLongerIfHeartbeatsAreRare() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 1_200), 0);
-        assertThat(named(EAST, 3_000)).hasSize(1);
-        assertThat(named(EAST, 3_200)).isEmpty();
+        assertThat(callerIps(EAST, 3_000)).hasSize(1);
+        assertThat(callerIps(EAST, 3_200)).isEmpty();
     }
 
     /**
-     * Symptom: the placements of a sound router vanish from the board of others. Sequence: two routers that take no
-     * callers tell each other seldom that they are there. Cause: the silence after which placements are taken off did
-     * not grow with the time between two heartbeats.
+     * Guards against placements of a healthy router that vanish from the load tables of others: standby routers
+     * exchange heartbeats rarely, but the silence after which placements are removed did not grow with the heartbeat
+     * interval.
      */
     @Test
-    void keepsThePlacementsOfARouterThatTellsSeldomThatItIsThere() {
+    void keepsPlacementsOfARouterWithRareHeartbeats() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 4_000), 0);
-        assertThat(table.expire(PeerTable.GONE_MILLIS + 1)).isEmpty();
+        assertThat(table.expire(PeerTable.DEAD_MILLIS + 1)).isEmpty();
         assertThat(table.expire(10_401)).hasSize(1);
     }
 
     /**
-     * Symptom: a router that is gone counts as one that could take callers for most of a minute. Sequence: routers that
-     * stand by hear of each other seldom. Cause to be excluded: none of them believes those that hear it often.
+     * Guards against a dead router that counts as able to take callers for most of a minute: standby routers exchange
+     * heartbeats rarely, so they must accept reports of routers that receive heartbeats often.
      */
     @Test
-    void believesOthersAboutRoutersThatItHearsSeldom() {
-        Peer seldom = new Peer(
+    void acceptsSilenceReportsAboutRoutersWithRareHeartbeats() {
+        Peer standby = new Peer(
                 new ProcessId(new HostId("host-9"), 1),
                 EAST,
                 new Address("127.0.0.9", 80),
@@ -142,31 +142,31 @@
                 0,
                 false,
                 12_000);
-        table.recordHeartbeat(seldom, 0);
+        table.recordHeartbeat(standby, 0);
         table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS - 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.9");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).containsExactly("127.0.0.9");
         table.reportedSilent(new HostId("host-9"), PeerTable.SUSPECT_MILLIS);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS)).isEmpty();
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS)).isEmpty();
         assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS)).containsExactly(new HostId("host-9"));
-        table.recordHeartbeat(seldom, PeerTable.SUSPECT_MILLIS + 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS + 1)).containsExactly("127.0.0.9");
+        table.recordHeartbeat(standby, PeerTable.SUSPECT_MILLIS + 1);
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS + 1)).containsExactly("127.0.0.9");
         assertThat(table.suspectedHosts(5, PeerTable.SUSPECT_MILLIS + 1)).isEmpty();
     }
 
     @Test
-    void believesItsOwnEarsAboutRoutersThatTakeCallersAndForgetsNobodyItNeverHeard() {
+    void ignoresSilenceReportsAboutActiveAndUnknownRouters() {
         table.recordHeartbeat(peer(1, 1, EAST, true), 0);
         table.reportedSilent(new HostId("host-1"), PeerTable.SUSPECT_MILLIS - 1);
         table.reportedSilent(new HostId("host-2"), PeerTable.SUSPECT_MILLIS - 1);
-        assertThat(named(EAST, PeerTable.SUSPECT_MILLIS - 1)).containsExactly("127.0.0.1");
+        assertThat(callerIps(EAST, PeerTable.SUSPECT_MILLIS - 1)).containsExactly("127.0.0.1");
     }
 
     /**
-     * Symptom: a large fleet takes itself for a small one, and all of its routers take callers. Sequence: routers that
-     * stand by in different data centres hear of each other every three minutes. Cause: they were forgotten after two.
+     * Guards against a large fleet in which all routers take callers because each sees only a few others: standby
+     * routers in different data centres exchange heartbeats every three minutes, but were removed after two.
      */
     @Test
-    void keepsRoutersThatSendHeartbeatsSeldom() {
+    void keepsRoutersWithRareHeartbeats() {
         table.recordHeartbeat(peer(1, 1, EAST, true, 197_000), 0);
         table.expire(197_000);
         assertThat(table.addresses()).hasSize(1);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReadersTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/peer/PlatformReaderSelectionTest.java
@@ -8,7 +8,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PlatformReadersTest {
+class PlatformReaderSelectionTest {
 
     private static final DataCentreId EAST = new DataCentreId("east");
     private static final DataCentreId WEST = new DataCentreId("west");
@@ -17,7 +17,7 @@
     private final Peer strong = peer("strong", EAST, 150);
     private final Peer middle = peer("middle", EAST, 75);
     private final Peer weak = peer("weak", EAST, 36);
-    private final Peer elsewhere = peer("elsewhere", WEST, 150);
+    private final Peer remote = peer("elsewhere", WEST, 150);
 
     private static Peer peer(String host, DataCentreId dataCentre, int capacityPercent) {
         Address address = new Address("127.0.0.1", 1);
@@ -36,9 +36,9 @@
     }
 
     @Test
-    void readsUnlessOneBeforeItInItsDataCentreSaysThatItDoes() {
+    void readsUnlessAPrecedingRouterOfItsDataCentreReads() {
         assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
-        readers.recordHeartbeat(elsewhere, true, 0);
+        readers.recordHeartbeat(remote, true, 0);
         readers.recordHeartbeat(weak, true, 0);
         assertThat(readers.mustReadPlatform(middle, 0)).isTrue();
         readers.recordHeartbeat(strong, true, 0);
@@ -47,28 +47,30 @@
         assertThat(readers.mustReadPlatform(strong, 0)).isTrue();
     }
 
-    /** Of all that read at a start exactly one of each data centre is left, whoever is heard first. */
+    /**
+     * After a start, when all routers read, exactly one reader per data centre is left, in whatever order the
+     * heartbeats arrive.
+     */
     @Test
-    void leavesOneOfThoseThatAllRead() {
-        for (Peer peer : new Peer[] {weak, strong, middle, elsewhere}) {
+    void leavesOneReaderPerDataCentre() {
+        for (Peer peer : new Peer[] {weak, strong, middle, remote}) {
             readers.recordHeartbeat(peer, true, 0);
         }
-        assertThat(new Peer[] {strong, middle, weak, elsewhere})
+        assertThat(new Peer[] {strong, middle, weak, remote})
                 .filteredOn(peer -> readers.mustReadPlatform(peer, 0))
-                .containsExactly(strong, elsewhere);
+                .containsExactly(strong, remote);
     }
 
     /**
-     * Symptom: a change of the configuration is not in force after its bound. Sequence: the router that reads for its
-     * data centre falls silent, or the platform turns it away. Cause to be excluded: the others go on to wait for its
-     * word.
+     * Guards against a configuration change that takes effect too late because the reader of a data centre has fallen
+     * silent, or the platform rejects its calls, while the other routers keep waiting for its heartbeat.
      */
     @Test
-    void readsAgainOnceTheReaderIsSilentOrTurnedAway() {
+    void readsAgainOnceTheReaderIsSilentOrRejected() {
         readers.recordHeartbeat(strong, true, 0);
-        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS - 1))
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.VALID_MILLIS - 1))
                 .isFalse();
-        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.TRUST_MILLIS))
+        assertThat(readers.mustReadPlatform(weak, PlatformReaderSelection.VALID_MILLIS))
                 .isTrue();
         readers.recordHeartbeat(strong, true, 5_000);
         readers.recordHeartbeat(middle, true, 5_000);
@@ -80,13 +82,13 @@
     }
 
     @Test
-    void reliesOnlyOnReadersThatItWasToldOf() {
+    void reliesOnlyOnKnownPrecedingReaders() {
         readers.recordHeartbeat(strong, true, 0);
         readers.recordHeartbeat(weak, true, 0);
         assertThat(readers.reliesOn(middle, strong, 0)).isTrue();
         assertThat(readers.reliesOn(middle, weak, 0)).isFalse();
-        assertThat(readers.reliesOn(middle, elsewhere, 0)).isFalse();
-        assertThat(readers.reliesOn(middle, strong, PlatformReaderSelection.TRUST_MILLIS))
+        assertThat(readers.reliesOn(middle, remote, 0)).isFalse();
+        assertThat(readers.reliesOn(middle, strong, PlatformReaderSelection.VALID_MILLIS))
                 .isFalse();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/time/PeerClockTest.java
@@ -14,26 +14,23 @@
     private static final long OFFSET = 5_000_000L;
 
     /**
-     * Symptom: a process that wakes late sends what its caller has long given up.
-     *
-     * <p>Sequence of events: readings of the peer's clock arrive after some transit; a deadline is told in that
-     * clock.
-     *
-     * <p>Cause to be excluded: a deadline that is later in the peer's clock than the true one.
+     * Guards against a process that resumes after a pause and still sends a request that its caller has given up.
+     * Readings of the peer's clock arrive after some transit time, and a deadline that is translated with them must
+     * never be later than the true deadline on the peer's clock.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "100, 0", "0, 300", "700, 20", "1000000, 1"})
-    void tellsADeadlineThatIsNeverLate(long firstTransit, long secondTransit) {
+    void translatesDeadlinesThatAreNeverLate(long firstTransit, long secondTransit) {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1_000 + OFFSET, 1_000 + firstTransit);
         clock.observe(PEER, 9_000 + OFFSET, 9_000 + secondTransit);
-        Deadline told = clock.translate(PEER, new Deadline(50_000));
-        assertThat(told.atNanos()).isLessThanOrEqualTo(50_000 + OFFSET);
-        assertThat(50_000 + OFFSET - told.atNanos()).isEqualTo(Math.min(firstTransit, secondTransit));
+        Deadline translated = clock.translate(PEER, new Deadline(50_000));
+        assertThat(translated.atNanos()).isLessThanOrEqualTo(50_000 + OFFSET);
+        assertThat(50_000 + OFFSET - translated.atNanos()).isEqualTo(Math.min(firstTransit, secondTransit));
     }
 
     @Test
-    void tellsNothingToAnotherProcessOfTheSameHost() {
+    void translatesNothingForAnotherProcessOfTheSameHost() {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1, 1);
         assertThat(clock.translate(new ProcessId(PEER.host(), 8), new Deadline(5)))
@@ -41,7 +38,7 @@
     }
 
     @Test
-    void startsAnewWithALaterProcess() {
+    void startsOverWithALaterProcess() {
         PeerClock clock = new PeerClock();
         clock.observe(PEER, 1_000_000, 10);
         ProcessId later = new ProcessId(PEER.host(), 8);
