--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
@@ -29,7 +29,7 @@
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
     /** Parts of later requests that are held while an answer is due; then reading stops. */
-    private static final int MOST_HELD = 32;
+    private static final int MAX_HELD_MESSAGES = 32;
 
     /** Time for which an ended connection still reads, in milliseconds, so that no reset takes the answer away. */
     private static final long LINGER_MILLIS = 500;
@@ -58,7 +58,7 @@
     }
 
     /** Notes bytes that came, before they are decoded. */
-    void bytesCame() {
+    void bytesReceived() {
         if (!headBegun) {
             lastMillis = server.nowMillis();
         }
@@ -69,7 +69,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (exchange != null && bodyWhole) {
             held.addLast(message);
-            if (held.size() > MOST_HELD) {
+            if (held.size() > MAX_HELD_MESSAGES) {
                 ctx.channel().config().setAutoRead(false);
             }
             return;
@@ -135,7 +135,7 @@
 
     /** Refuses a request that is not proper, and ends the connection, as its rest cannot be told from a next one. */
     private void refuse(HttpResponseStatus status, String message) {
-        server.countRefused();
+        server.countMalformed();
         closing = true;
         CallerExchange refused = exchange;
         bodyWhole = true;
@@ -152,7 +152,7 @@
         }
         lastMillis = server.nowMillis();
         if (content.decoderResult().isFailure()) {
-            leave();
+            callerDisconnected();
             closing = true;
             context.close();
             return;
@@ -164,7 +164,7 @@
             return;
         }
         if (data.isReadable() && !exchange.ended()) {
-            hold(data);
+            appendToBody(data);
         }
         if (content instanceof LastHttpContent && exchange != null) {
             bodyWhole = true;
@@ -196,7 +196,7 @@
     }
 
     /** Keeps a piece of a body. */
-    private void hold(ByteBuf data) {
+    private void appendToBody(ByteBuf data) {
         if (body == null) {
             body = Unpooled.compositeBuffer(Integer.MAX_VALUE);
         }
@@ -242,7 +242,7 @@
             Channel channel = done.channel();
             if (channel instanceof DuplexChannel duplex && channel.isActive()) {
                 duplex.shutdownOutput();
-                server.later(LINGER_MILLIS, channel::close);
+                server.schedule(LINGER_MILLIS, channel::close);
             } else {
                 channel.close();
             }
@@ -269,24 +269,24 @@
     /** Ends what callers take too long for. */
     void closeTimedOut(long nowMillis) {
         long silence = nowMillis - lastMillis;
-        boolean late;
+        boolean timedOut;
         if (exchange == null) {
-            late = silence
+            timedOut = silence
                     > (headBegun
                             ? server.limits().headerTimeoutMillis()
                             : server.limits().idleTimeoutMillis());
         } else {
-            late = !bodyWhole && silence > server.limits().idleTimeoutMillis();
+            timedOut = !bodyWhole && silence > server.limits().idleTimeoutMillis();
         }
-        if (late) {
+        if (timedOut) {
             closing = true;
-            leave();
+            callerDisconnected();
             context.close();
         }
     }
 
     /** Writes something that others follow at once. */
-    void writeLater(Object message) {
+    void writeWithoutFlush(Object message) {
         context.write(message);
     }
 
@@ -314,7 +314,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        leave();
+        callerDisconnected();
         while (!held.isEmpty()) {
             ReferenceCountUtil.release(held.pollFirst());
         }
@@ -322,7 +322,7 @@
     }
 
     /** Ends the run of a caller that left. */
-    private void leave() {
+    private void callerDisconnected() {
         dropBody();
         CallerRequestListener ended = run;
         CallerExchange open = exchange;
@@ -330,7 +330,7 @@
         exchange = null;
         bodyWhole = true;
         if (open != null && !open.ended()) {
-            open.leave();
+            open.callerDisconnected();
             if (ended != null) {
                 ended.disconnected();
             }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerExchange.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerExchange.java
@@ -26,7 +26,7 @@
 
     private final CallerConnection connection;
     private final boolean keepAlive;
-    private boolean begun;
+    private boolean answerStarted;
     private boolean ended;
 
     /** Creates an exchange for the request that was just read. */
@@ -43,11 +43,11 @@
      * @param body its body; released once it was written
      */
     public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
-        if (ended || begun) {
+        if (ended || answerStarted) {
             body.release();
             return;
         }
-        begun = true;
+        answerStarted = true;
         HttpHeaders own = copyOf(headers);
         own.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         HttpResponse response =
@@ -65,13 +65,13 @@
      * @param headers its headers, without those that concern the connection
      */
     public void begin(HttpResponseStatus status, HttpHeaders headers) {
-        begun = true;
+        answerStarted = true;
         HttpHeaders own = copyOf(headers);
         own.remove(HttpHeaderNames.CONTENT_LENGTH);
         own.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status, own);
         closesAfter(response);
-        connection.writeLater(response);
+        connection.writeWithoutFlush(response);
     }
 
     /** Copies headers that were checked where they came in. */
@@ -123,7 +123,7 @@
     }
 
     /** Notes that the caller left. */
-    void leave() {
+    void callerDisconnected() {
         ended = true;
     }
 
@@ -132,8 +132,8 @@
      *
      * @return whether status and headers were given
      */
-    public boolean begun() {
-        return begun;
+    public boolean answerStarted() {
+        return answerStarted;
     }
 
     /**
@@ -159,7 +159,7 @@
      *
      * @return no bytes
      */
-    public static ByteBuf nothing() {
+    public static ByteBuf emptyBody() {
         return Unpooled.EMPTY_BUFFER;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
@@ -29,10 +29,10 @@
     private static final int BACKLOG = 1024;
 
     /** Bytes that may wait for a slow caller before the upstream is not read further. */
-    private static final int MOST_UNREAD_BYTES = 64 * 1024;
+    private static final int MAX_UNREAD_BYTES = 64 * 1024;
 
     /** Time after which unacknowledged bytes end a connection, in milliseconds. */
-    private static final int UNACKNOWLEDGED_MILLIS = 5_000;
+    private static final int TCP_USER_TIMEOUT_MILLIS = 5_000;
 
     /** Beyond the configured limit, so that the answer can say that the headers were too long. */
     private static final int HEADER_SLACK_BYTES = 1024;
@@ -41,11 +41,11 @@
     private final CallerProtocol protocol;
     private final CallerHandler handler;
     private final Supplier<CallerLimits> limits;
-    private final int mostConnections;
+    private final int maxConnections;
     private final Set<CallerConnection> connections = new HashSet<>();
     private Channel listening;
     private boolean stopping;
-    private long refused;
+    private long malformed;
 
     /**
      * Creates a server that does not listen yet.
@@ -54,19 +54,19 @@
      * @param protocol reads the requests
      * @param handler answers them
      * @param limits what callers may send, as configured now
-     * @param mostConnections connections at the most, so that descriptors do not run out
+     * @param maxConnections connections at the most, so that descriptors do not run out
      */
     public CallerServer(
             ServingLoop loop,
             CallerProtocol protocol,
             CallerHandler handler,
             Supplier<CallerLimits> limits,
-            int mostConnections) {
+            int maxConnections) {
         this.loop = loop;
         this.protocol = protocol;
         this.handler = handler;
         this.limits = limits;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
     /**
@@ -86,7 +86,7 @@
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(MOST_UNREAD_BYTES / 2, MOST_UNREAD_BYTES))
+                        new WriteBufferWaterMark(MAX_UNREAD_BYTES / 2, MAX_UNREAD_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -94,7 +94,7 @@
                     }
                 });
         if (loop.serverChannel() == EpollServerSocketChannel.class) {
-            bootstrap.childOption(EpollChannelOption.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLIS);
+            bootstrap.childOption(EpollChannelOption.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS);
         }
         try {
             listening = bootstrap
@@ -110,7 +110,7 @@
 
     /** Takes a new connection. */
     private void accept(Channel channel) {
-        if (connections.size() >= mostConnections) {
+        if (connections.size() >= maxConnections) {
             channel.close();
             return;
         }
@@ -125,7 +125,7 @@
                         new ChannelInboundHandlerAdapter() {
                             @Override
                             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                                connection.bytesCame();
+                                connection.bytesReceived();
                                 ctx.fireChannelRead(message);
                             }
                         },
@@ -165,8 +165,8 @@
     }
 
     /** Counts a request that is not proper. */
-    void countRefused() {
-        refused++;
+    void countMalformed() {
+        malformed++;
     }
 
     /**
@@ -175,7 +175,7 @@
      * @return requests since the start
      */
     public long malformedRequests() {
-        return refused;
+        return malformed;
     }
 
     /** Tells whether answers end their connections. */
@@ -204,7 +204,7 @@
     }
 
     /** Runs something later. */
-    void later(long delayMillis, Runnable task) {
+    void schedule(long delayMillis, Runnable task) {
         loop.schedule(delayMillis, task);
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
@@ -67,7 +67,7 @@
      * @param body the body
      * @param timeoutMillis time for the whole answer, in milliseconds
      * @param fresh whether a new connection is asked for
-     * @param whenBegun takes status and headers of the answer, whatever becomes of the rest
+     * @param onHead takes status and headers of the answer, whatever becomes of the rest
      * @return the answer, or an {@link ApricotException}
      */
     public Mono<Response> call(
@@ -76,18 +76,18 @@
             byte[] body,
             long timeoutMillis,
             boolean fresh,
-            Consumer<HttpResponse> whenBegun) {
+            Consumer<HttpResponse> onHead) {
         return Mono.create(sink -> {
-            Taker taker = new Taker(sink, address, whenBegun);
+            ResponseCollector collector = new ResponseCollector(sink, address, onHead);
             UpstreamCall call =
-                    connections.send(address, PLAIN, null, request, Unpooled.wrappedBuffer(body), fresh, taker);
+                    connections.send(address, PLAIN, null, request, Unpooled.wrappedBuffer(body), fresh, collector);
             ScheduledFuture<?> timeout = loop.schedule(timeoutMillis, () -> {
-                if (!call.over()) {
+                if (!call.finished()) {
                     call.cancel();
                     sink.error(failure(address, "did not answer in " + timeoutMillis + " ms"));
                 }
             });
-            taker.timeout = timeout;
+            collector.timeout = timeout;
             sink.onCancel(call::cancel);
         });
     }
@@ -99,27 +99,27 @@
     }
 
     /** Collects an answer. */
-    private static final class Taker implements UpstreamListener {
+    private static final class ResponseCollector implements UpstreamListener {
         private final MonoSink<Response> sink;
         private final Address address;
-        private final Consumer<HttpResponse> whenBegun;
+        private final Consumer<HttpResponse> onHead;
         private final ByteBuf body = Unpooled.buffer();
         private int status;
         private HttpHeaders headers;
         private ScheduledFuture<?> timeout;
 
         /** Creates a taker. */
-        private Taker(MonoSink<Response> sink, Address address, Consumer<HttpResponse> whenBegun) {
+        private ResponseCollector(MonoSink<Response> sink, Address address, Consumer<HttpResponse> onHead) {
             this.sink = sink;
             this.address = address;
-            this.whenBegun = whenBegun;
+            this.onHead = onHead;
         }
 
         @Override
         public void head(ResponseHead head, HttpResponse raw) {
             status = head.status();
             headers = raw.headers();
-            whenBegun.accept(raw);
+            onHead.accept(raw);
         }
 
         @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
@@ -16,7 +16,7 @@
     private ByteBuf body;
     private ChannelFuture connecting;
     private UpstreamConnection connection;
-    private boolean over;
+    private boolean finished;
 
     /** Creates a call that was not sent yet. */
     UpstreamCall(
@@ -34,7 +34,7 @@
     }
 
     /** Notes the connection that carries the call. */
-    void carriedBy(UpstreamConnection carrier) {
+    void attachTo(UpstreamConnection carrier) {
         connection = carrier;
     }
 
@@ -66,34 +66,34 @@
     }
 
     /** Tells whether nothing more is to be told. */
-    boolean over() {
-        return over;
+    boolean finished() {
+        return finished;
     }
 
     /** Ends the call with a whole answer. */
     void succeed() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.end();
         }
     }
 
     /** Ends the call without a whole answer. */
     void fail(FailureKind kind) {
-        if (!over) {
-            over = true;
-            ReferenceCountUtil.release(takeBodyOrNothing());
+        if (!finished) {
+            finished = true;
+            ReferenceCountUtil.release(takeUnsentBody());
             listener.failed(kind);
         }
     }
 
     /** Ends the call; the listener hears nothing more. The upstream notices that its connection is closed. */
     public void cancel() {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
-        ReferenceCountUtil.release(takeBodyOrNothing());
+        finished = true;
+        ReferenceCountUtil.release(takeUnsentBody());
         if (connection != null) {
             connection.close();
         } else if (connecting != null) {
@@ -102,7 +102,7 @@
     }
 
     /** Takes the body if it was not sent yet. */
-    private ByteBuf takeBodyOrNothing() {
+    private ByteBuf takeUnsentBody() {
         return body == null ? null : takeBody();
     }
 
@@ -112,7 +112,7 @@
      * @param reading whether to read
      */
     public void read(boolean reading) {
-        if (connection != null && !over) {
+        if (connection != null && !finished) {
             connection.read(reading);
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
@@ -28,10 +28,10 @@
     private ChannelHandlerContext context;
     private UpstreamCall call;
     private ResponseHead answer;
-    private boolean skipping;
+    private boolean skippingLateResponse;
     private boolean informational;
     private boolean framed;
-    private boolean tainted;
+    private boolean notReusable;
     private boolean broken;
     private ChannelFuture written;
     private long keepUntilMillis;
@@ -59,15 +59,15 @@
 
     /** Tells whether a request may be sent. */
     boolean usable(long nowMillis) {
-        return context.channel().isActive() && !tainted && call == null && nowMillis < keepUntilMillis;
+        return context.channel().isActive() && !notReusable && call == null && nowMillis < keepUntilMillis;
     }
 
     /** Sends a request. */
     void start(UpstreamCall next) {
         call = next;
         answer = null;
-        skipping = false;
-        next.carriedBy(this);
+        skippingLateResponse = false;
+        next.attachTo(this);
         context.write(next.head());
         written = context.writeAndFlush(new DefaultLastHttpContent(next.takeBody()));
         written.addListener(done -> {
@@ -85,7 +85,7 @@
 
     /** Closes the connection. */
     void close() {
-        tainted = true;
+        notReusable = true;
         context.close();
     }
 
@@ -106,7 +106,7 @@
     /** Takes the beginning of an answer. */
     private void head(HttpResponse head) {
         if (head.decoderResult().isFailure() || call == null) {
-            poison();
+            failAsSpoiled();
             return;
         }
         informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
@@ -114,36 +114,36 @@
             return;
         }
         ResponseHead read = call.protocol().read(head);
-        skipping = !call.isAnsweredBy(read);
+        skippingLateResponse = !call.isAnsweredBy(read);
         framed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
-        if (skipping) {
-            tainted = true;
-            call.listener().late(read);
+        if (skippingLateResponse) {
+            notReusable = true;
+            call.listener().lateResponse(read);
             return;
         }
         answer = read;
-        tainted |= read.closes() || !framed;
+        notReusable |= read.closesConnection() || !framed;
         call.listener().head(read, head);
     }
 
     /** Takes a piece of a body. */
     private void content(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            poison();
+            failAsSpoiled();
             return;
         }
         boolean last = content instanceof LastHttpContent;
-        if (informational || skipping) {
+        if (informational || skippingLateResponse) {
             informational &= !last;
-            skipping &= !last;
+            skippingLateResponse &= !last;
             return;
         }
         if (call == null || answer == null) {
-            poison();
+            failAsSpoiled();
             return;
         }
         ByteBuf data = content.content();
-        if (data.isReadable() && !call.over()) {
+        if (data.isReadable() && !call.finished()) {
             call.listener().data(data);
         }
         if (last && call != null) {
@@ -159,13 +159,13 @@
     private void finish() {
         UpstreamCall ended = call;
         call = null;
-        boolean keep = !tainted
+        boolean keep = !notReusable
                 && written.isDone()
                 && written.isSuccess()
                 && context.channel().isActive();
-        if (keep && !ended.over()) {
+        if (keep && !ended.finished()) {
             context.channel().config().setAutoRead(true);
-            owner.keep(this, answer.idleMillis());
+            owner.keep(this, answer.keepAliveMillis());
         } else {
             close();
         }
@@ -173,7 +173,7 @@
     }
 
     /** Ends everything after bytes that do not belong here. */
-    private void poison() {
+    private void failAsSpoiled() {
         fail(FailureKind.SPOILED);
     }
 
@@ -189,7 +189,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        tainted = true;
+        notReusable = true;
         owner.forget(this);
         if (call != null) {
             fail(answer == null ? FailureKind.RESET : FailureKind.CUT);
@@ -199,6 +199,6 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         broken = true;
-        tainted = true;
+        notReusable = true;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
@@ -37,19 +37,19 @@
 public final class UpstreamConnections {
 
     /** Time to connect, in milliseconds; data centres are a few milliseconds apart, a lost packet costs a second. */
-    private static final int CONNECT_MILLIS = 450;
+    private static final int CONNECT_TIMEOUT_MILLIS = 450;
 
     /**
      * Time in which a host whose process has ended refuses a connection, in milliseconds; one that does not answer so
      * soon is cut off or without power.
      */
-    private static final int REFUSAL_MILLIS = 60;
+    private static final int REFUSAL_TIMEOUT_MILLIS = 60;
 
     /** Time after which unacknowledged bytes end a connection, in milliseconds. */
-    private static final int UNACKNOWLEDGED_MILLIS = 3_000;
+    private static final int TCP_USER_TIMEOUT_MILLIS = 3_000;
 
     /** Time for which a connection is kept if the upstream does not say, in milliseconds. */
-    private static final long USUAL_IDLE_MILLIS = 4_000;
+    private static final long DEFAULT_IDLE_MILLIS = 4_000;
 
     /** Taken off the time that the upstream says, in milliseconds, so that it does not close what is just used. */
     private static final long IDLE_MARGIN_MILLIS = 600;
@@ -74,9 +74,9 @@
                 .channel(loop.clientChannel())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
         if (loop.clientChannel() == EpollSocketChannel.class) {
-            bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLIS);
+            bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS);
         }
     }
 
@@ -144,7 +144,7 @@
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
                 call.fail(FailureKind.NO_CONNECTION);
-            } else if (call.over()) {
+            } else if (call.finished()) {
                 connecting.channel().close();
             } else if (!call.listener().mayBeSent()) {
                 connecting.channel().close();
@@ -161,12 +161,12 @@
      * @param address the address
      * @return whether a connection was refused; {@code false} if it was made, or if nobody answered
      */
-    public Mono<Boolean> refuses(Address address) {
+    public Mono<Boolean> isConnectionRefused(Address address) {
         return Mono.create(result -> {
             opened++;
             bootstrap
                     .clone()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, REFUSAL_MILLIS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, REFUSAL_TIMEOUT_MILLIS)
                     .handler(new ChannelInboundHandlerAdapter())
                     .connect(new InetSocketAddress(address.ip(), address.port()))
                     .addListener((ChannelFutureListener) done -> {
@@ -182,8 +182,8 @@
     }
 
     /** Keeps a connection for the next request. */
-    void keep(UpstreamConnection connection, long idleMillis) {
-        long kept = idleMillis > 0 ? Math.max(0, idleMillis - IDLE_MARGIN_MILLIS) : USUAL_IDLE_MILLIS;
+    void keep(UpstreamConnection connection, long keepAliveMillis) {
+        long kept = keepAliveMillis > 0 ? Math.max(0, keepAliveMillis - IDLE_MARGIN_MILLIS) : DEFAULT_IDLE_MILLIS;
         connection.keepUntil(loop.nowMillis() + kept);
         idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
                 .addLast(connection);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
@@ -29,7 +29,7 @@
      *
      * @param head what it says
      */
-    default void late(ResponseHead head) {}
+    default void lateResponse(ResponseHead head) {}
 
     /**
      * Takes a piece of the body.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -20,19 +20,19 @@
 class Attempt implements UpstreamListener {
 
     /** Longest answer that is held, in bytes; a longer one is not what plain services give. */
-    private static final int MOST_HELD_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_HELD_BYTES = 4 * 1024 * 1024;
 
     /** Share of the allowed silence after which the engine is asked whether it is there. */
-    private static final double ASK_SHARE = 0.45;
+    private static final double PROBE_SHARE = 0.45;
 
     private final RequestRun run;
     private final UpstreamChoice choice;
     private final long startMillis;
     private UpstreamCall call;
-    private ScheduledFuture<?> watch;
+    private ScheduledFuture<?> watchdog;
     private long silenceMillis;
-    private int watches;
-    private boolean over;
+    private int watchdogGeneration;
+    private boolean finished;
     private ResponseHead head;
     private HttpResponse raw;
     private CompositeByteBuf body;
@@ -47,87 +47,87 @@
     /** Notes the call that carries the attempt, and how long it may be silent. */
     void sent(UpstreamCall carrier, long limitMillis) {
         call = carrier;
-        if (!over) {
-            watch(limitMillis);
+        if (!finished) {
+            watchdog(limitMillis);
         }
     }
 
     /** Expects something within a time; 0 expects nothing. */
-    final void watch(long limitMillis) {
-        if (watch != null) {
-            watch.cancel(false);
+    final void watchdog(long limitMillis) {
+        if (watchdog != null) {
+            watchdog.cancel(false);
         }
         silenceMillis = limitMillis;
-        watches++;
+        watchdogGeneration++;
         if (limitMillis <= 0) {
-            watch = null;
+            watchdog = null;
         } else if (choice.placement() == null) {
-            watch = run.context().loop().schedule(limitMillis, this::giveUpIfAllowed);
+            watchdog = run.context().loop().schedule(limitMillis, this::abandonIfRetryAllowed);
         } else {
-            watch = run.context().loop().schedule((long) (limitMillis * ASK_SHARE), this::silentForLong);
+            watchdog = run.context().loop().schedule((long) (limitMillis * PROBE_SHARE), this::probeEngine);
         }
     }
 
     /** Ends the attempt if its engine is gone; otherwise waits for the rest of the time. */
-    private void silentForLong() {
-        if (over || !run.mayTryAgain(FailureKind.SILENT)) {
+    private void probeEngine() {
+        if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
         }
-        int mine = watches;
-        run.silence().gone(upstream()).subscribe(gone -> {
-            if (over || mine != watches) {
+        int generation = watchdogGeneration;
+        run.silenceCheck().isDead(upstream()).subscribe(dead -> {
+            if (finished || generation != watchdogGeneration) {
                 return;
             }
-            if (gone) {
-                giveUp(FailureKind.SILENT);
+            if (dead) {
+                abandon(FailureKind.SILENT);
             } else {
-                long rest = silenceMillis - (long) (silenceMillis * ASK_SHARE);
-                watch = run.context().loop().schedule(rest, this::silentForTooLong);
+                long rest = silenceMillis - (long) (silenceMillis * PROBE_SHARE);
+                watchdog = run.context().loop().schedule(rest, this::checkSilenceCause);
             }
         });
     }
 
     /** Ends the attempt if another one would do better. */
-    private void silentForTooLong() {
-        if (over || !run.mayTryAgain(FailureKind.SILENT)) {
+    private void checkSilenceCause() {
+        if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
         }
-        int mine = watches;
-        run.silence().reason(choice, begun()).subscribe(silence -> {
-            if (over || mine != watches) {
+        int generation = watchdogGeneration;
+        run.silenceCheck().cause(choice, answerStarted()).subscribe(silence -> {
+            if (finished || generation != watchdogGeneration) {
                 return;
             }
             if (silence.failure() != null) {
-                giveUp(silence.failure());
+                abandon(silence.failure());
             } else if (run.wouldBeFasterElsewhere(this)) {
-                giveUp(FailureKind.PASSED_OVER);
+                abandon(FailureKind.PASSED_OVER);
             } else {
-                watch(silenceMillis);
+                watchdog(silenceMillis);
             }
         });
     }
 
     /** Ends the attempt of a plain request if another one may be made. */
-    private void giveUpIfAllowed() {
-        if (!over && run.mayTryAgain(FailureKind.SILENT)) {
-            giveUp(FailureKind.SILENT);
+    private void abandonIfRetryAllowed() {
+        if (!finished && run.mayRetry(FailureKind.SILENT)) {
+            abandon(FailureKind.SILENT);
         }
     }
 
     /** Ends the attempt. */
-    private void giveUp(FailureKind kind) {
+    private void abandon(FailureKind kind) {
         call.cancel();
         failed(kind);
     }
 
     /** Tells whether events of the answer came. */
-    boolean begun() {
+    boolean answerStarted() {
         return false;
     }
 
     /** Ends the attempt, as the process that it was sent to is over. */
-    final void lost() {
-        if (call != null && !over) {
+    final void upstreamRestarted() {
+        if (call != null && !finished) {
             call.cancel();
             failed(FailureKind.RESET);
         }
@@ -155,7 +155,7 @@
 
     /** Ends the attempt; the upstream notices. */
     final void cancel() {
-        if (!over) {
+        if (!finished) {
             close();
             if (call != null) {
                 call.cancel();
@@ -165,15 +165,15 @@
 
     /** Stops or resumes reading the answer. */
     final void read(boolean reading) {
-        if (call != null && !over) {
+        if (call != null && !finished) {
             call.read(reading);
         }
     }
 
     /** Notes that nothing more is expected. */
     private void close() {
-        over = true;
-        watch(0);
+        finished = true;
+        watchdog(0);
         if (body != null) {
             body.release();
             body = null;
@@ -189,12 +189,12 @@
     public void head(ResponseHead answer, HttpResponse response) {
         head = answer;
         raw = response;
-        run.answerBegan(this, answer);
+        run.answerHeadReceived(this, answer);
     }
 
     @Override
-    public void late(ResponseHead answer) {
-        run.lateAnswer(this, answer);
+    public void lateResponse(ResponseHead answer) {
+        run.lateAnswerReceived(this, answer);
     }
 
     @Override
@@ -203,7 +203,7 @@
             body = Unpooled.compositeBuffer(Integer.MAX_VALUE);
         }
         body.addComponent(true, data.retain());
-        if (body.readableBytes() > MOST_HELD_BYTES) {
+        if (body.readableBytes() > MAX_HELD_BYTES) {
             cancel();
             run.attemptFailed(this, FailureKind.SPOILED);
         }
@@ -211,11 +211,11 @@
 
     @Override
     public void end() {
-        if (over) {
+        if (finished) {
             return;
         }
         FailureKind failure = failureOf(head);
-        if (failure == null || failure == FailureKind.ERROR && !run.mayTryAgain(failure)) {
+        if (failure == null || failure == FailureKind.ERROR && !run.mayRetry(failure)) {
             ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
             body = null;
             close();
@@ -227,35 +227,35 @@
 
     /** Says what is wrong with an answer that came whole; {@code null} if nothing is. */
     static FailureKind failureOf(ResponseHead answer) {
-        if (answer.otherInstance()) {
+        if (answer.wrongInstance()) {
             return FailureKind.OTHER_INSTANCE;
         }
         if (answer.notRun()) {
-            return turnedAway(answer);
+            return rejectionKind(answer);
         }
         if (answer.success()) {
-            return answer.sealed() && !answer.encoded() ? null : FailureKind.SPOILED;
+            return answer.sealed() && !answer.contentEncoded() ? null : FailureKind.SPOILED;
         }
         boolean serverError = answer.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
         return serverError ? FailureKind.ERROR : null;
     }
 
     /** Says why an upstream did not run a request. */
-    private static FailureKind turnedAway(ResponseHead answer) {
-        if (answer.faultyAddress() != null) {
+    private static FailureKind rejectionKind(ResponseHead answer) {
+        if (answer.faultyHelperAddress() != null) {
             return FailureKind.HELPER_GONE;
         }
         if (answer.notice().drain() == AdvertisedDrain.DRAINING) {
             return FailureKind.DRAINING;
         }
-        boolean asks = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
-        return asks ? FailureKind.BACK_OFF : FailureKind.FULL;
+        boolean requestsBackOff = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
+        return requestsBackOff ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
     /** Returns the helper that the answer names as the one at fault, or the upstream if it names none. */
     final UpstreamId faultyHelper() {
         return choice.helpers().stream()
-                .filter(helper -> helper.address().toString().equals(head.faultyAddress()))
+                .filter(helper -> helper.address().toString().equals(head.faultyHelperAddress()))
                 .map(UpstreamEntry::id)
                 .findFirst()
                 .orElse(choice.upstream().id());
@@ -263,15 +263,15 @@
 
     @Override
     public void failed(FailureKind kind) {
-        if (!over) {
+        if (!finished) {
             close();
             run.attemptFailed(this, kind);
         }
     }
 
     /** Tells whether nothing more is expected. */
-    final boolean over() {
-        return over;
+    final boolean finished() {
+        return finished;
     }
 
     /** Notes that the answer came whole. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/AttemptCount.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/AttemptCount.java
@@ -17,30 +17,30 @@
 final class AttemptCount {
 
     /** Less time than this is not worth a send, in milliseconds. */
-    static final long LEAST_LEFT_MILLIS = 5;
+    static final long MIN_REMAINING_MILLIS = 5;
 
     /**
      * Sends that count for no attempt, at most. Each costs a few milliseconds and goes to another upstream; engines
      * that are lost together are also tried again together, and a prompt that meets them all still has the time for
      * the next one.
      */
-    private static final int MOST_FREE = 12;
+    private static final int MAX_UNCOUNTED = 12;
 
     /** Failures of sends that no upstream got, or that were turned away. */
-    private static final Set<FailureKind> ALWAYS_FREE =
+    private static final Set<FailureKind> ALWAYS_UNCOUNTED =
             EnumSet.of(FailureKind.NO_CONNECTION, FailureKind.WITHHELD, FailureKind.DRAINING);
 
     /** Failures by which an upstream that leaves does not run the request. */
-    private static final Set<FailureKind> TURNED_AWAY =
+    private static final Set<FailureKind> REJECTED_WHILE_DRAINING =
             EnumSet.of(FailureKind.FULL, FailureKind.OTHER_INSTANCE, FailureKind.HELPER_GONE);
 
     /** Failures by which an upstream that leaves ends under the request. */
-    private static final Set<FailureKind> LOST = EnumSet.of(FailureKind.RESET, FailureKind.CUT);
+    private static final Set<FailureKind> CONNECTION_LOST = EnumSet.of(FailureKind.RESET, FailureKind.CUT);
 
     private final Route route;
     private int sent;
-    private int free;
-    private boolean lostOnce;
+    private int uncounted;
+    private boolean connectionLostOnce;
     private boolean mayHaveRun;
 
     /** Creates a count of no sends. */
@@ -54,23 +54,24 @@
     }
 
     /** Tells whether a failure counts for no attempt, given whether the upstream that caused it is leaving. */
-    boolean isFree(FailureKind kind, boolean leaving) {
-        boolean freeAsItLeaves = TURNED_AWAY.contains(kind) || LOST.contains(kind) && !lostOnce;
-        return ALWAYS_FREE.contains(kind) || leaving && freeAsItLeaves;
+    boolean isUncounted(FailureKind kind, boolean leaving) {
+        boolean uncountedWhileDraining =
+                REJECTED_WHILE_DRAINING.contains(kind) || CONNECTION_LOST.contains(kind) && !connectionLostOnce;
+        return ALWAYS_UNCOUNTED.contains(kind) || leaving && uncountedWhileDraining;
     }
 
     /** Notes how a send failed, and whether it counts for no attempt. */
-    void failed(FailureKind kind, boolean isFree) {
+    void failed(FailureKind kind, boolean isUncounted) {
         mayHaveRun |= kind.mayHaveRun();
-        if (isFree) {
-            lostOnce |= LOST.contains(kind);
+        if (isUncounted) {
+            connectionLostOnce |= CONNECTION_LOST.contains(kind);
             sent--;
-            free++;
+            uncounted++;
         }
     }
 
     /** Notes that the time ended while an upstream was at work. */
-    void leftAtWork() {
+    void timedOutInFlight() {
         mayHaveRun |= sent > 0;
     }
 
@@ -85,14 +86,14 @@
     }
 
     /** Says why no send may follow a failure; {@code null} if one may, leaving the retry budget aside. */
-    RefusalCause whyNotAgain(FailureKind kind, boolean isFree, long leftMillis) {
+    RefusalCause retryRefusal(FailureKind kind, boolean isUncounted, long remainingMillis) {
         if (kind.mayHaveRun() && !route.idempotent()) {
             return RefusalCause.MAY_HAVE_RUN;
         }
-        boolean used = isFree ? free >= MOST_FREE : sent >= route.maxAttempts();
+        boolean used = isUncounted ? uncounted >= MAX_UNCOUNTED : sent >= route.maxAttempts();
         if (used) {
             return RefusalCause.ATTEMPTS_USED;
         }
-        return leftMillis < LEAST_LEFT_MILLIS ? RefusalCause.TIME_LIMIT : null;
+        return remainingMillis < MIN_REMAINING_MILLIS ? RefusalCause.TIME_LIMIT : null;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the time until an upstream may be sent requests, in milliseconds; 0 if it may be sent some now. */
-    long opensMillis(UpstreamId upstream) {
+    long blockedMillis(UpstreamId upstream) {
         return table.isEmpty() ? 0 : table.opensMillis(upstream, context.nowMillis());
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EndCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/CrashCheck.java
@@ -17,69 +17,71 @@
  * <p>A process that has ended refuses the next connection at once. One that was told to leave ends as planned, which
  * says nothing of the requests that it still had.
  */
-final class EndCheck {
+final class CrashCheck {
 
     /** Time for which an answer serves all requests that broke off at one upstream, in milliseconds. */
-    private static final long SHARED_MILLIS = 500;
+    private static final long CACHE_MILLIS = 500;
 
     /** Failures of requests whose upstream may have ended; a connection may also fall silent when its upstream ends. */
-    private static final Set<FailureKind> MAY_MEAN_END =
+    private static final Set<FailureKind> POSSIBLE_CRASH =
             EnumSet.of(FailureKind.RESET, FailureKind.CUT, FailureKind.SILENT);
 
     /** Upstreams that left as planned and are remembered, until requests that ran there have been ended. */
-    private static final int MOST_LEFT = 64;
+    private static final int MAX_PLANNED_STOPS = 64;
 
     private final ServingContext context;
-    private final Set<UpstreamId> left = new LinkedHashSet<>();
-    private final Map<UpstreamId, Asked> asked = new HashMap<>();
+    private final Set<UpstreamId> plannedStops = new LinkedHashSet<>();
+    private final Map<UpstreamId, Query> queries = new HashMap<>();
 
     /**
      * A question to an upstream.
      *
-     * @param atMillis when it was asked
-     * @param ended its answer, which all requests share
+     * @param atMillis when the query was sent
+     * @param crashed its answer, which all requests share
      */
-    private record Asked(long atMillis, Mono<Boolean> ended) {}
+    private record Query(long atMillis, Mono<Boolean> crashed) {}
 
     /** Creates a check. */
-    EndCheck(ServingContext context) {
+    CrashCheck(ServingContext context) {
         this.context = context;
     }
 
     /** Tells whether a failure may mean that the upstream ended, and was not about to leave. */
-    boolean mayHaveEnded(UpstreamEntry upstream, FailureKind kind) {
-        return MAY_MEAN_END.contains(kind)
-                && !left.contains(upstream.id())
-                && (context.upstreams().hasRestarted(upstream.id()) || isListedToStay(upstream.id()));
+    boolean mayHaveCrashed(UpstreamEntry upstream, FailureKind kind) {
+        return POSSIBLE_CRASH.contains(kind)
+                && !plannedStops.contains(upstream.id())
+                && (context.upstreams().hasRestarted(upstream.id()) || isListedAndServing(upstream.id()));
     }
 
     /** Notes that a start of an upstream ended after it had been about to leave. */
-    void leftAsPlanned(UpstreamId start) {
-        left.add(start);
-        if (left.size() > MOST_LEFT) {
-            left.remove(left.iterator().next());
+    void stoppedAsPlanned(UpstreamId incarnation) {
+        plannedStops.add(incarnation);
+        if (plannedStops.size() > MAX_PLANNED_STOPS) {
+            plannedStops.remove(plannedStops.iterator().next());
         }
     }
 
     /** Tells whether a start of an upstream is listed and not about to leave. */
-    boolean isListedToStay(UpstreamId start) {
-        return context.upstreams().find(start) != null && !context.upstreams().isDraining(start);
+    boolean isListedAndServing(UpstreamId incarnation) {
+        return context.upstreams().find(incarnation) != null
+                && !context.upstreams().isDraining(incarnation);
     }
 
     /** Tells whether an upstream at which a request just broke off has ended; it may take some milliseconds. */
-    Mono<Boolean> hasEnded(UpstreamEntry upstream) {
+    Mono<Boolean> hasCrashed(UpstreamEntry upstream) {
         if (context.upstreams().hasRestarted(upstream.id())) {
             return Mono.just(true);
         }
         long now = context.nowMillis();
-        asked.values().removeIf(question -> now - question.atMillis() > SHARED_MILLIS);
-        return asked.computeIfAbsent(
-                        upstream.id(), id -> new Asked(now, ask(upstream).cache()))
-                .ended();
+        queries.values().removeIf(query -> now - query.atMillis() > CACHE_MILLIS);
+        return queries.computeIfAbsent(
+                        upstream.id(),
+                        id -> new Query(now, isConnectionRefused(upstream).cache()))
+                .crashed();
     }
 
     /** Asks an upstream whether it takes connections; tells whether it has ended. */
-    Mono<Boolean> ask(UpstreamEntry upstream) {
-        return context.connections().refuses(upstream.address());
+    Mono<Boolean> isConnectionRefused(UpstreamEntry upstream) {
+        return context.connections().isConnectionRefused(upstream.address());
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
@@ -36,10 +36,10 @@
         if (change == DrainChange.BEGAN) {
             context.metrics().drainAnnounced();
             line("drain_announced", upstream, requestId).put("source", "answer").write();
-            context.news().drainChanged(upstream);
+            context.placementGossip().drainChanged(upstream);
         } else if (change == DrainChange.ENDED) {
             ended(upstream, before, "answer", requestId);
-            context.news().drainChanged(upstream);
+            context.placementGossip().drainChanged(upstream);
         }
     }
 
@@ -48,7 +48,7 @@
         AnnouncedDrain before = table().find(upstream);
         if (table().ended(upstream, context.nowMillis()) == DrainChange.ENDED) {
             ended(upstream, before, "platform", null);
-            context.news().drainChanged(upstream);
+            context.placementGossip().drainChanged(upstream);
         }
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
@@ -26,28 +26,28 @@
      * @param reservation names the reservation
      * @param tokens how much
      * @param holdMillis time after which the engine frees it by itself, in milliseconds
-     * @param heard takes what the answer says of the engine, as soon as its head has come
+     * @param onNotice takes what the answer says of the engine, as soon as its head has come
      * @return whether it was reserved; an error if nobody knows
      */
     Mono<Boolean> reserve(
-            UpstreamEntry engine, String reservation, long tokens, long holdMillis, Consumer<UpstreamNotice> heard);
+            UpstreamEntry engine, String reservation, long tokens, long holdMillis, Consumer<UpstreamNotice> onNotice);
 
     /**
      * Ends a reservation.
      *
      * @param engine the engine
      * @param reservation names the reservation
-     * @param heard takes what the answer says of the engine, as soon as its head has come
+     * @param onNotice takes what the answer says of the engine, as soon as its head has come
      * @return whether the engine took it; an error if nobody knows
      */
-    Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> heard);
+    Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice);
 
     /**
      * Asks an engine for its state. It is priced, so it is asked only when its silence has to be explained.
      *
      * @param engine the engine
-     * @param heard takes what the answer says of the engine, as soon as its head has come
+     * @param onNotice takes what the answer says of the engine, as soon as its head has come
      * @return the state; an error if it does not answer
      */
-    Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> heard);
+    Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EventSplitter.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EventSplitter.java
@@ -48,7 +48,7 @@
     }
 
     /** Tells whether a part of an event is held. */
-    boolean partial() {
+    boolean hasPartialEvent() {
         return held.isReadable();
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
@@ -89,7 +89,7 @@
     }
 
     /** Returns the time until a request to an upstream may pass, in milliseconds; 0 if it may pass or be asked for. */
-    long opensMillis(UpstreamId upstream) {
+    long blockedMillis(UpstreamId upstream) {
         return admission.opensMillis(upstream);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /** Notes that requests begin, or with a negative number end, to wait until a limit lets them pass. */
-    void waits(int requests) {
+    void addWaiting(int requests) {
         waiting += requests;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Opening.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/NextAvailability.java
@@ -8,8 +8,8 @@
  * @param millis time until then, in milliseconds; 0 if not all are closed
  * @param cause what closes that upstream until then; {@code null} if not all are closed
  */
-record Opening(long millis, PassedOverCause cause) {
+record NextAvailability(long millis, PassedOverCause cause) {
 
     /** Not all upstreams are closed. */
-    static final Opening NOW = new Opening(0, null);
+    static final NextAvailability IMMEDIATE = new NextAvailability(0, null);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestDispatcher.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestDispatcher.java
@@ -42,8 +42,8 @@
     private final UpstreamChooser chooser;
     private final SuspectGate gate;
     private final UpstreamGates gates;
-    private final Set<RequestRun> open = new HashSet<>();
-    private boolean refusing;
+    private final Set<RequestRun> running = new HashSet<>();
+    private boolean stopping;
 
     /**
      * Creates the runs.
@@ -52,14 +52,14 @@
      */
     public RequestDispatcher(ServingContext context) {
         this.context = context;
-        this.gate = new SuspectGate(context, this::suspected);
+        this.gate = new SuspectGate(context, this::recheckSuspicion);
         this.gates = new UpstreamGates(context);
         this.chooser = new UpstreamChooser(context, gates);
     }
 
     @Override
     public CallerRequestListener open(CallerRequest request, CallerExchange exchange) {
-        if (refusing) {
+        if (stopping) {
             return refuse(request, exchange, RefusalCause.STOPPING, OTHER_ROUTER_MILLIS);
         }
         ServingConfiguration configuration = context.configuration().get();
@@ -75,8 +75,8 @@
             return refuse(request, exchange, RefusalCause.UNKNOWN_KEY, 0);
         }
         RequestFacts facts = RequestFacts.of(request, configuration, route, account, context.nowMillis());
-        RequestRun run = new RequestRun(context, chooser, gate, gates, exchange, facts, open::remove);
-        open.add(run);
+        RequestRun run = new RequestRun(context, chooser, gate, gates, exchange, facts, running::remove);
+        running.add(run);
         return run;
     }
 
@@ -131,10 +131,10 @@
      */
     public void upstreamRestarted(UpstreamEntry ended) {
         if (ended.draining() || context.upstreams().isDraining(ended.id())) {
-            gate.leftAsPlanned(ended.id());
+            gate.stoppedAsPlanned(ended.id());
         }
         gates.forget(ended.id());
-        List.copyOf(open).forEach(run -> run.lostWith(ended.id()));
+        List.copyOf(running).forEach(run -> run.upstreamRestarted(ended.id()));
     }
 
     /**
@@ -143,12 +143,12 @@
      * @param request the request
      */
     public void upstreamCrashReported(RequestDigest request) {
-        gate.moreKnown(request);
+        gate.suspicionChanged(request);
     }
 
     /** Looks again at all attempts of a request of which more is known. */
-    private void suspected(RequestDigest request) {
-        List.copyOf(open).forEach(run -> run.suspected(request));
+    private void recheckSuspicion(RequestDigest request) {
+        List.copyOf(running).forEach(run -> run.recheckSuspicion(request));
     }
 
     /**
@@ -171,7 +171,7 @@
 
     /** Refuses requests from now on, as the process is about to stop. */
     public void refuseNew() {
-        refusing = true;
+        stopping = true;
     }
 
     /**
@@ -180,6 +180,6 @@
      * @return requests
      */
     public int open() {
-        return open.size();
+        return running.size();
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
@@ -65,24 +65,27 @@
     }
 
     /** Returns the time that is left. */
-    long leftMillis(long nowMillis) {
+    long remainingMillis(long nowMillis) {
         return endMillis - nowMillis;
     }
 
     /** Tells whether it may still wait for room. */
     boolean mayWait(double predictedMillis, long nowMillis) {
         return PromptAdmission.mayWait(
-                predictedMillis, nowMillis - arrivedMillis, CallerPatience.millis(route), leftMillis(nowMillis));
+                predictedMillis,
+                nowMillis - arrivedMillis,
+                TimeoutPolicy.patienceMillis(route),
+                remainingMillis(nowMillis));
     }
 
     /** Tells whether it may wait for another attempt of the same request: half of its time is left for its own. */
-    boolean mayHold(long nowMillis) {
-        boolean halfLeft = leftMillis(nowMillis) > (endMillis - arrivedMillis) / 2;
+    boolean mayWaitForTrial(long nowMillis) {
+        boolean halfLeft = remainingMillis(nowMillis) > (endMillis - arrivedMillis) / 2;
         return halfLeft && (!runsOnEngines() || mayWait(0, nowMillis));
     }
 
     /** Returns what its placement on engines depends on. */
-    PromptRequest prompt(long nowMillis, boolean begun) {
+    PromptRequest prompt(long nowMillis, boolean answerStarted) {
         EngineProfile engine = profile.engine().orElseThrow();
         long waited = nowMillis - arrivedMillis;
         long answerTokens = request.maxAnswerTokens() > 0 ? request.maxAnswerTokens() : engine.meanAnswerTokens();
@@ -91,8 +94,9 @@
                 answerTokens,
                 Math.max(1, route.targetLatencyMillis() - waited),
                 route.tokenGapTargetMillis(),
-                Math.min(leftMillis(nowMillis), CallerPatience.millis(route) - (begun ? 0 : waited)),
-                begun ? 0 : waited);
+                Math.min(
+                        remainingMillis(nowMillis), TimeoutPolicy.patienceMillis(route) - (answerStarted ? 0 : waited)),
+                answerStarted ? 0 : waited);
     }
 
     /** Returns the silence after which another upstream is tried, in milliseconds; 0 if none may be. */
@@ -101,8 +105,8 @@
             return 0;
         }
         return route.kind() == RequestKind.STREAMING
-                ? CallerPatience.firstEventLimitMillis(choice.predictedMillis())
-                : CallerPatience.answerLimitMillis(route, leftMillis(nowMillis));
+                ? TimeoutPolicy.firstEventLimitMillis(choice.predictedMillis())
+                : TimeoutPolicy.answerLimitMillis(route, remainingMillis(nowMillis));
     }
 
     /** Returns what the upstream is told beside the caller's words. */
@@ -110,21 +114,22 @@
             UpstreamChoice choice, ReservedHelpers helpers, String lastEventId, long nowMillis) {
         return new ForwardingParameters(
                 choice.upstream(),
-                Math.max(1, leftMillis(nowMillis)),
-                accountId(),
+                Math.max(1, remainingMillis(nowMillis)),
+                clientAccountId(),
                 priority(),
                 helpers.helpers(),
                 lastEventId);
     }
 
     /** Returns the client account, or {@code null}. */
-    ClientAccountId accountId() {
+    ClientAccountId clientAccountId() {
         return account == null ? null : account.id();
     }
 
     /** Returns the hash that tells the request apart from those with another head or another length of the body. */
     long headDigest(int bodyBytes) {
-        return RequestDigest.hashHead(head().method().name(), request.host(), request.target(), accountId(), bodyBytes);
+        return RequestDigest.hashHead(
+                head().method().name(), request.host(), request.target(), clientAccountId(), bodyBytes);
     }
 
     /** Returns the rank of the request; an account's goes before its route's. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestLog.java
@@ -13,7 +13,7 @@
 import org.apricotstack.serving.observe.RefusalCause;
 
 /** Writes down and counts what happens to one request, with the figures that decided. */
-final class RunLog {
+final class RequestLog {
 
     private final ServingContext context;
     private final RequestFacts facts;
@@ -21,7 +21,7 @@
     private final StreamProgress progress;
 
     /** Creates the log of a request. */
-    RunLog(ServingContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
+    RequestLog(ServingContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
         this.context = context;
         this.facts = facts;
         this.attempts = attempts;
@@ -40,7 +40,7 @@
                 .put("service", facts.service().value())
                 .put(
                         "account",
-                        facts.account() == null ? null : facts.accountId().value())
+                        facts.account() == null ? null : facts.clientAccountId().value())
                 .put("configuration", facts.configurationVersion())
                 .put("limit_millis", facts.endMillis() - facts.arrivedMillis())
                 .put("target_millis", facts.route().targetLatencyMillis())
@@ -50,33 +50,33 @@
     }
 
     /** Notes that the request waits, as placing it now would cost others more than it is worth. */
-    void waits(long nowMillis) {
+    void waiting(long nowMillis) {
         line("waits")
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .put("board", context.loadTable().size())
                 .write();
     }
 
     /** Notes that the request waits, as the same request is suspected and tried elsewhere. */
-    void held(RequestDigest digest, long nowMillis) {
+    void waitingForTrial(RequestDigest digest, long nowMillis) {
         line("held")
                 .put("content", digest.toString())
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .write();
     }
 
     /** Notes a send, and which upstreams were passed over for it. */
-    void sent(UpstreamChoice choice, PassedOver others, long nowMillis) {
-        count(PassedOverCause.LIMIT, others.limited());
-        count(PassedOverCause.DRAINING, others.draining());
-        count(PassedOverCause.BACK_OFF, others.backingOff());
+    void sent(UpstreamChoice choice, SkippedUpstreams skipped, long nowMillis) {
+        count(PassedOverCause.LIMIT, skipped.rateLimited());
+        count(PassedOverCause.DRAINING, skipped.draining());
+        count(PassedOverCause.BACK_OFF, skipped.backingOff());
         line("sent")
                 .put("attempt", attempts.sent())
                 .put("upstream", choice.upstream().id().value())
                 .put("helpers", names(choice.helpers()))
-                .put("limits_used_up", names(others.limited()))
-                .put("draining", names(others.draining()))
-                .put("back_off", names(others.backingOff()))
+                .put("limits_used_up", names(skipped.rateLimited()))
+                .put("draining", names(skipped.draining()))
+                .put("back_off", names(skipped.backingOff()))
                 .put(
                         "part_millis",
                         choice.placement() == null
@@ -84,7 +84,7 @@
                                 : Math.round(choice.placement().lead().prefillMillis()))
                 .put("predicted_millis", Math.round(choice.predictedMillis()))
                 .put("reserves", choice.reserves())
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .put("board", context.loadTable().size())
                 .write();
     }
@@ -97,7 +97,7 @@
     }
 
     /** Notes that a choice is dropped before it was sent. */
-    void passedOver(Attempt attempt, PassedOverCause cause, long opensMillis) {
+    void passedOver(Attempt attempt, PassedOverCause cause, long blockedMillis) {
         UpstreamId upstream = attempt.upstream().id();
         RateLimit limit = context.limits().find(upstream);
         context.metrics().passedOver(cause);
@@ -106,7 +106,7 @@
                 .put("upstream", upstream.value())
                 .put("per_second", limit == null ? null : Double.toString(limit.perSecond()))
                 .put("keeper", context.limitGossip().permitIssuerOf(upstream))
-                .put("opens_millis", opensMillis)
+                .put("opens_millis", blockedMillis)
                 .write();
     }
 
@@ -134,13 +134,13 @@
     }
 
     /** Notes whether the upstream ended at which an attempt broke off, and what tells the request apart. */
-    void brokeOff(Attempt attempt, RequestDigest digest, boolean upstreamEnded) {
+    void attemptInterrupted(Attempt attempt, RequestDigest digest, boolean upstreamEnded) {
         line("broke_off")
                 .put("content", digest.toString())
                 .put("upstream", attempt.upstream().id().value())
                 .put("incarnation", attempt.upstream().id().incarnation())
                 .put("upstream_ended", upstreamEnded)
-                .put("events", attempt.begun())
+                .put("events", attempt.answerStarted())
                 .write();
     }
 
@@ -159,15 +159,15 @@
     }
 
     /** Notes an answer of an upstream. */
-    void answered(String how, Attempt attempt, int status, long nowMillis) {
+    void answered(String event, Attempt attempt, int status, long nowMillis) {
         context.metrics().served(facts.route().kind());
-        context.metrics().longestTokenGap(progress.longestPauseMillis());
-        line(how)
+        context.metrics().longestTokenGap(progress.longestTokenGapMillis());
+        line(event)
                 .put("status", status)
                 .put("attempt", attempts.sent())
                 .put("upstream", attempt.upstream().id().value())
                 .put("took_millis", nowMillis - facts.arrivedMillis())
-                .put("longest_pause_millis", progress.longestPauseMillis())
+                .put("longest_pause_millis", progress.longestTokenGapMillis())
                 .write();
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
@@ -31,14 +31,14 @@
     private final StreamProgress progress;
     private final SuspectGate gate;
     private final UpstreamGates gates;
-    private final RunSuspicion suspicion;
-    private final RunLog log;
+    private final SuspectTracker suspectTracker;
+    private final RequestLog log;
     private final Consumer<RequestRun> onEnd;
     private final RequestSender sender;
     private final ScheduledFuture<?> timeLimit;
     private ByteBuf body;
     private int bodyBytes;
-    private boolean over;
+    private boolean finished;
 
     /** Begins a run; it waits for the body. */
     RequestRun(
@@ -58,10 +58,10 @@
         this.progress = new StreamProgress(facts.request().lastEventId());
         this.gate = gate;
         this.gates = gates;
-        this.suspicion = new RunSuspicion(gate, facts);
-        this.log = new RunLog(context, facts, attempts, progress);
-        this.sender = new RequestSender(this, chooser, gates, facts, attempts, progress, suspicion, log);
-        this.timeLimit = context.loop().schedule(facts.leftMillis(context.nowMillis()), this::timeOver);
+        this.suspectTracker = new SuspectTracker(gate, facts);
+        this.log = new RequestLog(context, facts, attempts, progress);
+        this.sender = new RequestSender(this, chooser, gates, facts, attempts, progress, suspectTracker, log);
+        this.timeLimit = context.loop().schedule(facts.remainingMillis(context.nowMillis()), this::timedOut);
         log.arrived();
     }
 
@@ -71,24 +71,24 @@
     }
 
     /** Tells whether it has ended. */
-    boolean over() {
-        return over;
+    boolean finished() {
+        return finished;
     }
 
     /** Returns what finds out why an engine is silent. */
-    SilenceCheck silence() {
-        return chooser.silence();
+    SilenceCheck silenceCheck() {
+        return chooser.silenceCheck();
     }
 
     @Override
     public void body(ByteBuf whole) {
-        if (over) {
+        if (finished) {
             whole.release();
             return;
         }
         if (!context.bodies().tryReserve(whole.readableBytes())) {
             whole.release();
-            endWithout(RefusalCause.BODY_MEMORY);
+            endWithRefusal(RefusalCause.BODY_MEMORY);
             return;
         }
         bodyBytes = whole.readableBytes();
@@ -104,8 +104,8 @@
     }
 
     /** Tells whether another send may follow a failure of the current one. */
-    boolean mayTryAgain(FailureKind kind) {
-        return attempts.whyNotAgain(kind, false, facts.leftMillis(context.nowMillis())) == null;
+    boolean mayRetry(FailureKind kind) {
+        return attempts.retryRefusal(kind, false, facts.remainingMillis(context.nowMillis())) == null;
     }
 
     /** Tells whether an attempt may still be given to the upstreams that were chosen for it. */
@@ -115,45 +115,47 @@
 
     /** Takes the failure of an attempt: sends again or ends. */
     void attemptFailed(Attempt attempt, FailureKind kind) {
-        if (over || attempt != sender.current()) {
+        if (finished || attempt != sender.current()) {
             return;
         }
         sender.end(attempt);
-        UpstreamId blamed = kind == FailureKind.HELPER_GONE
+        UpstreamId responsible = kind == FailureKind.HELPER_GONE
                 ? attempt.faultyHelper()
                 : attempt.upstream().id();
-        boolean isFree = attempts.isFree(kind, context.upstreams().isDraining(blamed));
-        attempts.failed(kind, isFree);
+        boolean isUncounted = attempts.isUncounted(kind, context.upstreams().isDraining(responsible));
+        attempts.failed(kind, isUncounted);
         if (kind != FailureKind.WITHHELD && kind != FailureKind.BACK_OFF) {
-            sender.exclude(blamed);
+            sender.exclude(responsible);
         }
-        chooser.failed(blamed, kind);
-        if (gate.mayHaveEnded(attempt.upstream(), kind)) {
-            RequestDigest digest = suspicion.digest();
-            gate.brokeOff(attempt.upstream(), digest, attempt.begun(), ended -> {
-                log.brokeOff(attempt, digest, ended);
-                goOn(attempt, kind, isFree);
+        chooser.failed(responsible, kind);
+        if (gate.mayHaveCrashed(attempt.upstream(), kind)) {
+            RequestDigest digest = suspectTracker.digest();
+            gate.attemptInterrupted(attempt.upstream(), digest, attempt.answerStarted(), ended -> {
+                log.attemptInterrupted(attempt, digest, ended);
+                retryOrRefuse(attempt, kind, isUncounted);
             });
         } else {
-            goOn(attempt, kind, isFree);
+            retryOrRefuse(attempt, kind, isUncounted);
         }
     }
 
     /** Sends again after a failure, or ends. */
-    private void goOn(Attempt attempt, FailureKind kind, boolean isFree) {
-        if (over) {
+    private void retryOrRefuse(Attempt attempt, FailureKind kind, boolean isUncounted) {
+        if (finished) {
             return;
         }
         long now = context.nowMillis();
-        RefusalCause cause = attempts.whyNotAgain(kind, isFree, facts.leftMillis(now));
-        if (cause == null && !isFree && !context.budgets().of(facts.service()).trySpend(now)) {
+        RefusalCause cause = attempts.retryRefusal(kind, isUncounted, facts.remainingMillis(now));
+        if (cause == null
+                && !isUncounted
+                && !context.budgets().of(facts.service()).trySpend(now)) {
             cause = RefusalCause.RETRY_BUDGET;
         }
         log.failed(attempt, kind, cause, now);
         if (cause == null) {
             sender.send();
         } else {
-            endWithout(cause);
+            endWithRefusal(cause);
         }
     }
 
@@ -161,12 +163,12 @@
      * Ends the attempt that runs in a start of an upstream that is over. Its connection may be silent, and only the
      * time limit would end it. A request that must not run twice is left to the end of its connection.
      */
-    void lostWith(UpstreamId start) {
+    void upstreamRestarted(UpstreamId start) {
         Attempt attempt = sender.current();
         if (attempt != null
                 && facts.route().idempotent()
                 && attempt.upstream().id().equals(start)) {
-            attempt.lost();
+            attempt.upstreamRestarted();
         }
     }
 
@@ -175,35 +177,37 @@
      * upstream that has not begun to answer: to be refused, or to be sent again once no other router tries the same.
      * One that cannot be sent again goes on, and the others wait for it.
      */
-    void suspected(RequestDigest request) {
+    void recheckSuspicion(RequestDigest request) {
         Attempt attempt = sender.current();
-        if (over || attempt == null || attempt.begun() || !suspicion.is(request)) {
+        if (finished || attempt == null || attempt.answerStarted() || !suspectTracker.matches(request)) {
             return;
         }
-        if (suspicion.isRefused()) {
-            attempts.leftAtWork();
-            endWithout(RefusalCause.ENDS_UPSTREAMS);
-        } else if (suspicion.isOneOfMany() && facts.route().idempotent() && mayTryAgain(FailureKind.WITHDRAWN)) {
+        if (suspectTracker.isRefused()) {
+            attempts.timedOutInFlight();
+            endWithRefusal(RefusalCause.ENDS_UPSTREAMS);
+        } else if (suspectTracker.isSentBeforeSuspected()
+                && facts.route().idempotent()
+                && mayRetry(FailureKind.WITHDRAWN)) {
             attempt.cancel();
             attemptFailed(attempt, FailureKind.WITHDRAWN);
-        } else if (suspicion.isOneOfMany()) {
-            suspicion.tries(attempt.upstream().id(), facts.leftMillis(context.nowMillis()));
+        } else if (suspectTracker.isSentBeforeSuspected()) {
+            suspectTracker.trialStarted(attempt.upstream().id(), facts.remainingMillis(context.nowMillis()));
         }
     }
 
     /** Takes the beginning of an answer, whatever follows. */
-    void answerBegan(Attempt attempt, ResponseHead answer) {
-        stated(attempt, answer, attempt.startMillis());
+    void answerHeadReceived(Attempt attempt, ResponseHead answer) {
+        applyNotice(attempt, answer, attempt.startMillis());
     }
 
     /** Takes the beginning of an answer to an earlier request; it may begin what it says, but end nothing. */
-    void lateAnswer(Attempt attempt, ResponseHead answer) {
-        stated(attempt, answer, Long.MIN_VALUE);
+    void lateAnswerReceived(Attempt attempt, ResponseHead answer) {
+        applyNotice(attempt, answer, Long.MIN_VALUE);
     }
 
     /** Takes in what an upstream says of itself; what another one at its address says concerns the other one. */
-    private void stated(Attempt attempt, ResponseHead answer, long sentMillis) {
-        if (!answer.otherInstance()) {
+    private void applyNotice(Attempt attempt, ResponseHead answer, long sentMillis) {
+        if (!answer.wrongInstance()) {
             gates.answered(
                     attempt.upstream().id(),
                     answer.notice(),
@@ -214,17 +218,17 @@
 
     /** Takes a whole answer, or an upstream's failure that is passed on as it is. */
     void answered(Attempt attempt, boolean success, HttpResponse raw, ByteBuf answer) {
-        if (over) {
+        if (finished) {
             answer.release();
             return;
         }
         if (success) {
             context.outlierDetector().succeeded(attempt.upstream().id());
         }
-        if (exchange.begun()) {
+        if (exchange.answerStarted()) {
             answer.release();
             sender.end(attempt);
-            endWithout(RefusalCause.ATTEMPTS_USED);
+            endWithRefusal(RefusalCause.ATTEMPTS_USED);
             return;
         }
         long now = context.nowMillis();
@@ -235,22 +239,22 @@
 
     /** Takes an event of a stream and passes it on unless it is there already. */
     void event(Attempt attempt, HttpResponse raw, EventSplitter.Event event) {
-        if (over || !progress.isNext(event.id())) {
+        if (finished || !progress.isNext(event.id())) {
             event.bytes().release();
-            if (!over && progress.misses(event.id())) {
+            if (!finished && progress.skipsEvents(event.id())) {
                 attempt.cancel();
                 attemptFailed(attempt, FailureKind.SPOILED);
             }
             return;
         }
         long now = context.nowMillis();
-        chooser.silence().progress(attempt.upstream().id());
-        if (progress.firstOf(attempt)) {
-            chooser.writing(attempt.choice());
-            log.firstEvent(attempt, !exchange.begun(), now);
+        chooser.silenceCheck().eventReceived(attempt.upstream().id());
+        if (progress.isFirstOf(attempt)) {
+            chooser.decodeStarted(attempt.choice());
+            log.firstEvent(attempt, !exchange.answerStarted(), now);
         }
-        progress.took(event.id(), now);
-        if (!exchange.begun()) {
+        progress.eventForwarded(event.id(), now);
+        if (!exchange.answerStarted()) {
             exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.data(event.bytes());
@@ -260,12 +264,12 @@
     }
 
     /** Takes the whole end of a stream. */
-    void streamed(Attempt attempt, HttpResponse raw) {
-        if (over) {
+    void streamCompleted(Attempt attempt, HttpResponse raw) {
+        if (finished) {
             return;
         }
         context.outlierDetector().succeeded(attempt.upstream().id());
-        if (!exchange.begun()) {
+        if (!exchange.answerStarted()) {
             exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.complete();
@@ -273,42 +277,42 @@
     }
 
     /** Ends the run with an answer of an upstream. */
-    private void finish(String how, Attempt attempt, int status) {
-        log.answered(how, attempt, status, context.nowMillis());
-        suspicion.served();
+    private void finish(String event, Attempt attempt, int status) {
+        log.answered(event, attempt, status, context.nowMillis());
+        suspectTracker.served();
         sender.end(attempt);
         close();
     }
 
     /** Ends the time of the request. */
-    private void timeOver() {
-        if (!over) {
+    private void timedOut() {
+        if (!finished) {
             if (sender.current() != null) {
-                attempts.leftAtWork();
+                attempts.timedOutInFlight();
             }
-            endWithout(RefusalCause.TIME_LIMIT);
+            endWithRefusal(RefusalCause.TIME_LIMIT);
         }
     }
 
     /** Ends the run without an answer of an upstream. */
-    void endWithout(RefusalCause cause) {
-        endWithout(cause, CallerPatience.retryAfterMillis(cause, facts.leftMillis(context.nowMillis())));
+    void endWithRefusal(RefusalCause cause) {
+        endWithRefusal(cause, TimeoutPolicy.retryAfterMillis(cause, facts.remainingMillis(context.nowMillis())));
     }
 
     /** Ends the run without an answer of an upstream, and tells the caller when to come back; 0 for no advice. */
-    void endWithout(RefusalCause cause, long retryMillis) {
-        if (over) {
+    void endWithRefusal(RefusalCause cause, long retryMillis) {
+        if (finished) {
             return;
         }
         long now = context.nowMillis();
-        boolean begun = exchange.begun();
-        int status = begun
+        boolean answerStarted = exchange.answerStarted();
+        int status = answerStarted
                 ? 0
                 : RequestDispatcher.status(cause, attempts.mayHaveRun()).code();
-        log.refused(cause, status, retryMillis, suspicion.digestOf(cause), now);
+        log.refused(cause, status, retryMillis, suspectTracker.digestIfSuspected(cause), now);
         sender.cancel();
         close();
-        if (begun) {
+        if (answerStarted) {
             exchange.abort();
         } else {
             RequestDispatcher.answer(exchange, cause, attempts.mayHaveRun(), retryMillis);
@@ -317,8 +321,8 @@
 
     /** Frees what the run used. */
     private void close() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             timeLimit.cancel(false);
             if (body != null) {
                 body.release();
@@ -331,7 +335,7 @@
 
     @Override
     public void disconnected() {
-        if (!over) {
+        if (!finished) {
             log.callerLeft(context.nowMillis());
             sender.cancel();
             close();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
@@ -25,14 +25,14 @@
     private final RequestFacts facts;
     private final AttemptCount attempts;
     private final StreamProgress progress;
-    private final RunSuspicion suspicion;
-    private final RunLog log;
+    private final SuspectTracker suspectTracker;
+    private final RequestLog log;
     private final Set<UpstreamId> excluded = new HashSet<>();
     private ByteBuf body;
     private Attempt current;
     private ReservedHelpers reserved;
-    private boolean waiting;
-    private boolean held;
+    private boolean waitsForCapacity;
+    private boolean waitsForTrial;
 
     /** Creates a sender that has no body yet. */
     RequestSender(
@@ -42,8 +42,8 @@
             RequestFacts facts,
             AttemptCount attempts,
             StreamProgress progress,
-            RunSuspicion suspicion,
-            RunLog log) {
+            SuspectTracker suspectTracker,
+            RequestLog log) {
         this.run = run;
         this.context = run.context();
         this.chooser = chooser;
@@ -51,14 +51,14 @@
         this.facts = facts;
         this.attempts = attempts;
         this.progress = progress;
-        this.suspicion = suspicion;
+        this.suspectTracker = suspectTracker;
         this.log = log;
     }
 
     /** Notes the body, which the run holds until it is over. */
     void body(ByteBuf whole) {
         body = whole;
-        suspicion.body(whole);
+        suspectTracker.body(whole);
     }
 
     /** Returns the attempt that is under way, or {@code null}. */
@@ -74,11 +74,11 @@
     /** Sends the request to the next upstream. */
     void send() {
         long now = context.nowMillis();
-        if (facts.leftMillis(now) < AttemptCount.LEAST_LEFT_MILLIS) {
-            run.endWithout(RefusalCause.TIME_LIMIT);
+        if (facts.remainingMillis(now) < AttemptCount.MIN_REMAINING_MILLIS) {
+            run.endWithRefusal(RefusalCause.TIME_LIMIT);
             return;
         }
-        SuspectDecision decision = suspicion.decide();
+        SuspectDecision decision = suspectTracker.decide();
         if (!decision.sends()) {
             holdOrRefuse(decision, now);
             return;
@@ -88,12 +88,12 @@
             waitOrRefuse(now);
             return;
         }
-        if (choice.dear() && !progress.begun() && facts.mayWait(choice.predictedMillis(), now)) {
-            waitForRoom();
+        if (choice.expensive() && !progress.answerStarted() && facts.mayWait(choice.predictedMillis(), now)) {
+            waitForCapacity();
             return;
         }
-        if (choice.refused() && !progress.begun()) {
-            run.endWithout(RefusalCause.TOO_DEAR);
+        if (choice.refused() && !progress.answerStarted()) {
+            run.endWithRefusal(RefusalCause.TOO_DEAR);
             return;
         }
         begin(choice, now);
@@ -101,12 +101,13 @@
 
     /** Gives the request to the upstreams that were chosen. */
     private void begin(UpstreamChoice choice, long now) {
-        chooser.begin(choice, facts.leftMillis(now));
+        chooser.begin(choice, facts.remainingMillis(now));
         reserved = new ReservedHelpers(context, gates, choice);
         Attempt attempt = newAttempt(choice, now);
         current = attempt;
         if (choice.reserves()) {
-            reserved.reserve().subscribe(done -> afterReserving(attempt, done), e -> afterReserving(attempt, false));
+            reserved.reserve()
+                    .subscribe(done -> reservationAnswered(attempt, done), e -> reservationAnswered(attempt, false));
         } else {
             acquire(attempt);
         }
@@ -116,42 +117,42 @@
     private UpstreamChoice choose(Set<UpstreamId> avoided) {
         UpstreamChoice choice = null;
         if (!avoided.isEmpty()) {
-            choice = chooser.choose(facts, progress.begun(), Sets.union(excluded, avoided));
+            choice = chooser.choose(facts, progress.answerStarted(), Sets.union(excluded, avoided));
         }
-        return choice == null ? chooser.choose(facts, progress.begun(), excluded) : choice;
+        return choice == null ? chooser.choose(facts, progress.answerStarted(), excluded) : choice;
     }
 
     /** Waits until more is known of the request, or it was tried elsewhere; ends as it is sent to no upstream. */
     private void holdOrRefuse(SuspectDecision decision, long now) {
         if (decision.action() == SuspectDecision.Action.REFUSE) {
-            run.endWithout(RefusalCause.ENDS_UPSTREAMS);
-        } else if (decision.action() == SuspectDecision.Action.SETTLE || facts.mayHold(now)) {
-            if (!held) {
-                held = true;
-                log.held(suspicion.digest(), now);
+            run.endWithRefusal(RefusalCause.ENDS_UPSTREAMS);
+        } else if (decision.action() == SuspectDecision.Action.SETTLE || facts.mayWaitForTrial(now)) {
+            if (!waitsForTrial) {
+                waitsForTrial = true;
+                log.waitingForTrial(suspectTracker.digest(), now);
             }
-            lookAgain(decision.holdMillis());
+            retryLater(decision.holdMillis());
         } else {
-            run.endWithout(RefusalCause.REPEAT_IN_TRIAL);
+            run.endWithRefusal(RefusalCause.REPEAT_IN_TRIAL);
         }
     }
 
     /** Waits for room if some may still be found, and ends otherwise. */
     private void waitOrRefuse(long now) {
-        Opening opening = chooser.opening(facts.service(), excluded);
-        if (opening.millis() > 0) {
-            waitForOpening(opening, now);
+        NextAvailability availability = chooser.nextAvailability(facts.service(), excluded);
+        if (availability.millis() > 0) {
+            waitUntilAvailable(availability, now);
             return;
         }
-        if (waitsForRoom(now)) {
-            waitForRoom();
+        if (mayWaitForCapacity(now)) {
+            waitForCapacity();
             return;
         }
-        run.endWithout(whyNone());
+        run.endWithRefusal(noUpstreamCause());
     }
 
     /** Says why no upstream is left for the request. */
-    private RefusalCause whyNone() {
+    private RefusalCause noUpstreamCause() {
         if (!context.upstreams().usable(facts.service()).isEmpty()) {
             return RefusalCause.NO_ROOM;
         }
@@ -164,73 +165,73 @@
      * Waits until an upstream opens if that is in time, and ends otherwise. One request waits for each upstream that is
      * closed by its limit: more than that would wait for permits that others get.
      */
-    private void waitForOpening(Opening opening, long now) {
-        if (mayWaitFor(opening, now)) {
-            gates.limits().waits(1);
-            log.waits(now);
-            context.loop().schedule(opening.millis(), () -> {
-                gates.limits().waits(-1);
+    private void waitUntilAvailable(NextAvailability availability, long now) {
+        if (mayWaitUntilAvailable(availability, now)) {
+            gates.limits().addWaiting(1);
+            log.waiting(now);
+            context.loop().schedule(availability.millis(), () -> {
+                gates.limits().addWaiting(-1);
                 sendAgain();
             });
-        } else if (opening.cause() == PassedOverCause.LIMIT) {
-            run.endWithout(RefusalCause.UPSTREAM_LIMITS, opening.millis());
+        } else if (availability.cause() == PassedOverCause.LIMIT) {
+            run.endWithRefusal(RefusalCause.UPSTREAM_LIMITS, availability.millis());
         } else {
             long caller = facts.request().id().hashCode();
-            run.endWithout(RefusalCause.UPSTREAMS_BACK_OFF, RetryAfterJitter.millis(opening.millis(), caller));
+            run.endWithRefusal(RefusalCause.UPSTREAMS_BACK_OFF, RetryAfterJitter.millis(availability.millis(), caller));
         }
     }
 
     /** Tells whether it is of use to wait; a stream whose answer has begun waits as long as its caller may. */
-    private boolean mayWaitFor(Opening opening, long now) {
-        if (progress.begun()) {
-            return now + opening.millis() < progress.lastMillis() + CallerPatience.millis(facts.route());
+    private boolean mayWaitUntilAvailable(NextAvailability availability, long now) {
+        if (progress.answerStarted()) {
+            return now + availability.millis() < progress.lastMillis() + TimeoutPolicy.patienceMillis(facts.route());
         }
-        return opening.cause() == PassedOverCause.LIMIT
+        return availability.cause() == PassedOverCause.LIMIT
                 && PermitWaitPolicy.isAllowed(
-                        opening.millis(),
+                        availability.millis(),
                         now - facts.arrivedMillis(),
                         facts.route().targetLatencyMillis(),
                         gates.limits().waiting(),
-                        chooser.passedOver(facts.service()).limited().size());
+                        chooser.skippedUpstreams(facts.service()).rateLimited().size());
     }
 
     /** Tells whether room may still be found before the caller loses patience, as no event was passed on yet. */
-    private boolean waitsForRoom(long now) {
+    private boolean mayWaitForCapacity(long now) {
         return facts.runsOnEngines()
                 && !context.upstreams().usable(facts.service()).isEmpty()
                 && facts.mayWait(0, now)
-                && !progress.begun();
+                && !progress.answerStarted();
     }
 
     /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
     boolean wouldBeFasterElsewhere(Attempt attempt) {
-        return chooser.fasterElsewhere(facts, attempt.choice(), progress.begun(), excluded);
+        return chooser.fasterElsewhere(facts, attempt.choice(), progress.answerStarted(), excluded);
     }
 
     /** Looks again a little later, while engines are worth more to others. */
-    private void waitForRoom() {
-        if (!waiting) {
-            waiting = true;
-            log.waits(context.nowMillis());
+    private void waitForCapacity() {
+        if (!waitsForCapacity) {
+            waitsForCapacity = true;
+            log.waiting(context.nowMillis());
         }
-        lookAgain(CallerPatience.RECHECK_MILLIS);
+        retryLater(TimeoutPolicy.RECHECK_MILLIS);
     }
 
     /** Tries to send the request a little later. */
-    private void lookAgain(long millis) {
+    private void retryLater(long millis) {
         context.loop().schedule(millis, this::sendAgain);
     }
 
     /** Sends the request unless it is over, or was sent meanwhile. */
     private void sendAgain() {
-        if (!run.over() && current == null) {
+        if (!run.finished() && current == null) {
             send();
         }
     }
 
     /** Goes on once the memory is reserved. */
-    private void afterReserving(Attempt attempt, boolean done) {
-        if (attempt != current || attempt.over()) {
+    private void reservationAnswered(Attempt attempt, boolean done) {
+        if (attempt != current || attempt.finished()) {
             return;
         }
         if (done) {
@@ -242,22 +243,23 @@
 
     /** Goes on once the upstream's limit lets the request pass. */
     private void acquire(Attempt attempt) {
-        gates.limits().acquire(attempt.upstream().id(), granted -> afterAcquiring(attempt, granted));
+        gates.limits().acquire(attempt.upstream().id(), granted -> permitAnswered(attempt, granted));
     }
 
     /** Sends the request if it may be sent, and otherwise tries another upstream. */
-    private void afterAcquiring(Attempt attempt, boolean granted) {
-        if (attempt != current || attempt.over()) {
+    private void permitAnswered(Attempt attempt, boolean granted) {
+        if (attempt != current || attempt.finished()) {
             return;
         }
         PassedOverCause cause = granted ? gates.whyNotSent(attempt.choice()) : PassedOverCause.LIMIT;
         if (cause != null) {
-            log.passedOver(attempt, cause, gates.opensMillis(attempt.upstream().id()));
+            log.passedOver(
+                    attempt, cause, gates.blockedMillis(attempt.upstream().id()));
             cancel();
             send();
             return;
         }
-        SuspectDecision decision = suspicion.decide();
+        SuspectDecision decision = suspectTracker.decide();
         if (decision.sends()) {
             forward(attempt, decision);
         } else {
@@ -269,14 +271,14 @@
     /** Makes an attempt of the route's kind. */
     private Attempt newAttempt(UpstreamChoice choice, long now) {
         return facts.route().kind() == RequestKind.STREAMING
-                ? new StreamAttempt(run, choice, now, CallerPatience.pauseLimitMillis(facts.route()))
+                ? new StreamAttempt(run, choice, now, TimeoutPolicy.tokenGapLimitMillis(facts.route()))
                 : new Attempt(run, choice, now);
     }
 
     /** Hands an attempt to a connection. */
     private void forward(Attempt attempt, SuspectDecision decision) {
         long now = context.nowMillis();
-        suspicion.sent(decision, attempt.upstream().id(), facts.leftMillis(now));
+        suspectTracker.sent(decision, attempt.upstream().id(), facts.remainingMillis(now));
         attempts.send();
         UpstreamChoice choice = attempt.choice();
         HttpRequest head = context.protocol()
@@ -284,7 +286,7 @@
                         facts.request(),
                         body.readableBytes(),
                         facts.forwarding(choice, reserved, progress.lastEventId(), now));
-        log.sent(choice, chooser.passedOver(facts.service()), now);
+        log.sent(choice, chooser.skippedUpstreams(facts.service()), now);
         attempt.sent(
                 context.connections()
                         .send(
@@ -311,7 +313,7 @@
     void end(Attempt attempt) {
         if (attempt == current) {
             current = null;
-            suspicion.ended();
+            suspectTracker.attemptEnded();
             chooser.end(attempt.choice());
             reserved.release();
         }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
@@ -37,7 +37,7 @@
     private static final long LATE_RELEASE_MILLIS = 1_000;
 
     /** Time after which an order that was not answered is no longer carried out, in milliseconds. */
-    private static final long LATE_MILLIS = 13_000;
+    private static final long LATE_ORDER_MILLIS = 13_000;
 
     private final ServingContext context;
     private final UpstreamGates gates;
@@ -88,13 +88,13 @@
                 .filter(i -> helpers.get(i).reservation() != null)
                 .filter(i -> !context.upstreams()
                         .hasRestarted(helpers.get(i).upstream().id()))
-                .flatMap(i -> order(helpers.get(i).upstream(), heard -> context.engines()
+                .flatMap(i -> order(helpers.get(i).upstream(), onNotice -> context.engines()
                                 .reserve(
                                         helpers.get(i).upstream(),
                                         helpers.get(i).reservation(),
                                         choice.placement().parts().get(i + 1).memoryTokens(),
                                         HOLD_MILLIS,
-                                        heard))
+                                        onNotice))
                         .doOnError(e -> unanswered(helpers.get(i).upstream()))
                         .onErrorReturn(false))
                 .all(reserved -> reserved);
@@ -139,7 +139,7 @@
         if (context.upstreams().find(engine.id()) == null) {
             return;
         }
-        order(engine, heard -> context.engines().release(engine, reservation, heard))
+        order(engine, onNotice -> context.engines().release(engine, reservation, onNotice))
                 .subscribe(done -> releaseLater(engine, reservation, LATE_RELEASE_MILLIS), error -> {
                     unanswered(engine);
                     releaseLater(engine, reservation, RELEASE_MILLIS);
@@ -148,7 +148,7 @@
 
     /** Plans another release if an order may still be carried out. */
     private void releaseLater(UpstreamEntry engine, String reservation, long delayMillis) {
-        if (context.nowMillis() - unansweredMillis < LATE_MILLIS) {
+        if (context.nowMillis() - unansweredMillis < LATE_ORDER_MILLIS) {
             context.loop().schedule(delayMillis, () -> release(engine, reservation));
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ServingContext.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ServingContext.java
@@ -30,7 +30,7 @@
  * @param connections connections to upstreams
  * @param protocol the upstreams' headers
  * @param engines what engines offer beside running prompts
- * @param news tells other routers
+ * @param placementGossip tells other routers
  * @param suspects requests under which upstreams ended
  * @param suspectGossip tells other routers of them
  * @param limits the rate limits that upstreams named
@@ -51,7 +51,7 @@
         UpstreamConnections connections,
         UpstreamProtocol protocol,
         EngineCalls engines,
-        PlacementGossip news,
+        PlacementGossip placementGossip,
         SuspectTable suspects,
         SuspectGossip suspectGossip,
         LimitTable limits,
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Silence.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCause.java
@@ -3,9 +3,9 @@
 import org.apricotstack.core.upstream.FailureKind;
 
 /** Why an engine says nothing on a request. */
-enum Silence {
+enum SilenceCause {
     /** The engine does not answer, or has started again: all that it was given is lost. */
-    GONE(FailureKind.SILENT),
+    DEAD(FailureKind.SILENT),
     /** The engine goes on with other requests, and none waits there: only this one is lost. */
     PASSED_OVER(FailureKind.PASSED_OVER),
     /** The engine is there and has more to do than it can do at once. */
@@ -14,7 +14,7 @@
     private final FailureKind failure;
 
     /** Creates a reason. */
-    Silence(FailureKind failure) {
+    SilenceCause(FailureKind failure) {
         this.failure = failure;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
@@ -22,20 +22,20 @@
     private static final long ALIVE_MILLIS = 300;
 
     /** Time for which an answer of an engine serves all streams, in milliseconds, as asking is priced. */
-    private static final long SHARED_MILLIS = 500;
+    private static final long CACHE_MILLIS = 500;
 
     private final ServingContext context;
     private final UpstreamGates gates;
-    private final Map<UpstreamId, Long> progressMillis = new HashMap<>();
-    private final Map<UpstreamId, Asked> asked = new HashMap<>();
+    private final Map<UpstreamId, Long> lastEventMillis = new HashMap<>();
+    private final Map<UpstreamId, Query> queries = new HashMap<>();
 
     /**
      * A question to an engine.
      *
-     * @param atMillis when it was asked
+     * @param atMillis when the query was sent
      * @param answer its answer, which all streams share
      */
-    private record Asked(long atMillis, Mono<Silence> answer) {}
+    private record Query(long atMillis, Mono<SilenceCause> answer) {}
 
     /** Creates a check. */
     SilenceCheck(ServingContext context, UpstreamGates gates) {
@@ -44,23 +44,23 @@
     }
 
     /** Notes an event of an engine. */
-    void progress(UpstreamId engine) {
-        progressMillis.put(engine, context.nowMillis());
+    void eventReceived(UpstreamId engine) {
+        lastEventMillis.put(engine, context.nowMillis());
     }
 
     /**
      * Says why an engine is silent on a request; the answer may take a fraction of a second.
      *
      * @param choice the engine and those that help it
-     * @param begun whether events of the request came before
+     * @param answerStarted whether events of the request came before
      */
-    Mono<Silence> reason(UpstreamChoice choice, boolean begun) {
+    Mono<SilenceCause> cause(UpstreamChoice choice, boolean answerStarted) {
         UpstreamEntry engine = choice.upstream();
-        if (showsLife(engine) && begun) {
-            return Mono.just(Silence.PASSED_OVER);
+        if (hasRecentEvents(engine) && answerStarted) {
+            return Mono.just(SilenceCause.PASSED_OVER);
         }
-        boolean waits = !showsLife(engine) || waitsForHelpers(choice);
-        return answer(engine).map(found -> waits && found == Silence.PASSED_OVER ? Silence.BUSY : found);
+        boolean excused = !hasRecentEvents(engine) || waitsForHelpers(choice);
+        return answer(engine).map(found -> excused && found == SilenceCause.PASSED_OVER ? SilenceCause.BUSY : found);
     }
 
     /**
@@ -73,23 +73,23 @@
     }
 
     /** Tells whether a silent engine is gone; the answer may take a fraction of a second. */
-    Mono<Boolean> gone(UpstreamEntry engine) {
-        return showsLife(engine) ? Mono.just(false) : answer(engine).map(found -> found == Silence.GONE);
+    Mono<Boolean> isDead(UpstreamEntry engine) {
+        return hasRecentEvents(engine) ? Mono.just(false) : answer(engine).map(found -> found == SilenceCause.DEAD);
     }
 
     /** Tells whether other streams of an engine go on. */
-    private boolean showsLife(UpstreamEntry engine) {
-        Long last = progressMillis.get(engine.id());
+    private boolean hasRecentEvents(UpstreamEntry engine) {
+        Long last = lastEventMillis.get(engine.id());
         return last != null && context.nowMillis() - last < ALIVE_MILLIS;
     }
 
     /** Asks an engine unless it was asked a moment ago; passed over means that nothing waits there. */
-    private Mono<Silence> answer(UpstreamEntry engine) {
+    private Mono<SilenceCause> answer(UpstreamEntry engine) {
         long now = context.nowMillis();
-        Asked before = asked.get(engine.id());
-        if (before == null || now - before.atMillis() > SHARED_MILLIS) {
-            before = new Asked(now, ask(engine));
-            asked.put(engine.id(), before);
+        Query before = queries.get(engine.id());
+        if (before == null || now - before.atMillis() > CACHE_MILLIS) {
+            before = new Query(now, ask(engine));
+            queries.put(engine.id(), before);
         }
         return before.answer();
     }
@@ -98,24 +98,24 @@
      * Asks an engine if it may be asked now. One whose limit lets no request pass, or that asked for a back-off, counts
      * as overloaded.
      */
-    private Mono<Silence> ask(UpstreamEntry engine) {
-        if (gates.backOffs().opensMillis(engine.id()) > 0) {
-            return Mono.just(Silence.BUSY);
+    private Mono<SilenceCause> ask(UpstreamEntry engine) {
+        if (gates.backOffs().blockedMillis(engine.id()) > 0) {
+            return Mono.just(SilenceCause.BUSY);
         }
         return Mono.<Boolean>create(sink -> gates.limits().acquire(engine.id(), sink::success))
-                .flatMap(granted -> granted ? report(engine) : Mono.just(Silence.BUSY))
+                .flatMap(granted -> granted ? report(engine) : Mono.just(SilenceCause.BUSY))
                 .cache();
     }
 
     /** Reads an engine's report. */
-    private Mono<Silence> report(UpstreamEntry engine) {
+    private Mono<SilenceCause> report(UpstreamEntry engine) {
         long sentMillis = context.nowMillis();
         return context.engines()
                 .report(engine, notice -> gates.answered(engine.id(), notice, sentMillis, null))
                 .map(report -> {
                     UpstreamId answering = new UpstreamId(engine.id().value(), report.incarnation());
                     if (answering.isLaterIncarnationOf(engine.id())) {
-                        return Silence.GONE;
+                        return SilenceCause.DEAD;
                     }
                     context.loadTable().load(engine.id()).slowdown(report.slowdown());
                     context.log()
@@ -124,8 +124,8 @@
                             .put("pace_percent", Math.round(report.slowdown() * 100))
                             .put("queued", report.queued())
                             .write();
-                    return report.queued() > 0 ? Silence.BUSY : Silence.PASSED_OVER;
+                    return report.queued() > 0 ? SilenceCause.BUSY : SilenceCause.PASSED_OVER;
                 })
-                .onErrorReturn(Silence.GONE);
+                .onErrorReturn(SilenceCause.DEAD);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PassedOver.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SkippedUpstreams.java
@@ -7,12 +7,12 @@
 /**
  * The upstreams of a service that get no requests now, by what their answers said.
  *
- * @param limited those that have got as many as they said that they take
+ * @param rateLimited those that have got as many as they said that they take
  * @param draining those that announced that they leave
  * @param backingOff those that asked for a back-off
  */
-record PassedOver(List<UpstreamEntry> limited, List<UpstreamEntry> draining, List<UpstreamEntry> backingOff) {
+record SkippedUpstreams(List<UpstreamEntry> rateLimited, List<UpstreamEntry> draining, List<UpstreamEntry> backingOff) {
 
     /** No upstream is passed over. */
-    static final PassedOver NONE = new PassedOver(List.of(), List.of(), List.of());
+    static final SkippedUpstreams NONE = new SkippedUpstreams(List.of(), List.of(), List.of());
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
@@ -9,19 +9,19 @@
 final class StreamAttempt extends Attempt {
 
     private final EventSplitter splitter = new EventSplitter();
-    private final long pauseLimitMillis;
+    private final long tokenGapLimitMillis;
     private HttpResponse raw;
     private boolean streaming;
-    private boolean begun;
+    private boolean answerStarted;
 
     /**
      * Creates an attempt that was not sent yet.
      *
      * @param pauseLimitMillis silence between events after which the stream is moved, in milliseconds
      */
-    StreamAttempt(RequestRun run, UpstreamChoice choice, long startMillis, long pauseLimitMillis) {
+    StreamAttempt(RequestRun run, UpstreamChoice choice, long startMillis, long tokenGapLimitMillis) {
         super(run, choice, startMillis);
-        this.pauseLimitMillis = pauseLimitMillis;
+        this.tokenGapLimitMillis = tokenGapLimitMillis;
     }
 
     @Override
@@ -42,29 +42,29 @@
 
     /** Takes a whole event. */
     private void event(EventSplitter.Event event) {
-        if (over()) {
+        if (finished()) {
             event.bytes().release();
             return;
         }
-        begun = true;
-        watch(pauseLimitMillis);
+        answerStarted = true;
+        watchdog(tokenGapLimitMillis);
         run().event(this, raw, event);
     }
 
     @Override
-    boolean begun() {
-        return begun;
+    boolean answerStarted() {
+        return answerStarted;
     }
 
     @Override
     public void end() {
         if (!streaming) {
             super.end();
-        } else if (splitter.partial()) {
+        } else if (splitter.hasPartialEvent()) {
             failed(FailureKind.CUT);
-        } else if (!over()) {
+        } else if (!finished()) {
             finish();
-            run().streamed(this, raw);
+            run().streamCompleted(this, raw);
         }
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
@@ -6,10 +6,10 @@
     private String lastEventId;
     private long last = -1;
     private boolean counted;
-    private Attempt writing;
+    private Attempt currentAttempt;
     private long lastMillis;
-    private long longestPauseMillis;
-    private boolean begun;
+    private long longestTokenGapMillis;
+    private boolean answerStarted;
 
     /** Creates the progress of a stream that follows an event that the caller has; {@code null} if it has none. */
     StreamProgress(String lastEventId) {
@@ -30,23 +30,23 @@
     }
 
     /** Tells whether events before this one are missing. */
-    boolean misses(long id) {
+    boolean skipsEvents(long id) {
         return counted && id > last + 1;
     }
 
     /** Tells whether an event is the first of its attempt, once. */
-    boolean firstOf(Attempt attempt) {
-        boolean first = writing != attempt;
-        writing = attempt;
+    boolean isFirstOf(Attempt attempt) {
+        boolean first = currentAttempt != attempt;
+        currentAttempt = attempt;
         return first;
     }
 
     /** Notes an event that is passed on. */
-    void took(long id, long nowMillis) {
-        if (begun) {
-            longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastMillis);
+    void eventForwarded(long id, long nowMillis) {
+        if (answerStarted) {
+            longestTokenGapMillis = Math.max(longestTokenGapMillis, nowMillis - lastMillis);
         }
-        begun = true;
+        answerStarted = true;
         lastMillis = nowMillis;
         if (id >= 0) {
             last = id;
@@ -56,8 +56,8 @@
     }
 
     /** Tells whether an event was passed on. */
-    boolean begun() {
-        return begun;
+    boolean answerStarted() {
+        return answerStarted;
     }
 
     /** Returns when the last event was passed on. */
@@ -71,7 +71,7 @@
     }
 
     /** Returns the longest time between two events. */
-    long longestPauseMillis() {
-        return longestPauseMillis;
+    long longestTokenGapMillis() {
+        return longestTokenGapMillis;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
@@ -30,117 +30,121 @@
      * Time after which an upstream that still took a connection is asked once more, in milliseconds: a process that is
      * ending may lose its requests before it stops to listen.
      */
-    private static final long ASK_AGAIN_MILLIS = 100;
+    private static final long CRASH_RECHECK_MILLIS = 100;
 
     /** Ends under a request from which on routers that stand by are told of it too. */
-    private static final int ENDS_TOLD_TO_ALL = 3;
+    private static final int BROADCAST_CRASHES = 3;
 
     private final ServingContext context;
-    private final EndCheck ends;
-    private final Consumer<RequestDigest> whenSuspected;
-    private final Map<UpstreamId, List<BrokenOff>> waiting = new HashMap<>();
+    private final CrashCheck crashCheck;
+    private final Consumer<RequestDigest> onSuspicionChanged;
+    private final Map<UpstreamId, List<InterruptedAttempt>> waiting = new HashMap<>();
 
     /**
      * An attempt that broke off and waits to know whether its upstream ended.
      *
      * @param request the request
-     * @param begun whether some of its answer had come
+     * @param answerStarted whether some of its answer had come
      * @param then takes whether the upstream ended
      */
-    private record BrokenOff(RequestDigest request, boolean begun, Consumer<Boolean> then) {}
+    private record InterruptedAttempt(RequestDigest request, boolean answerStarted, Consumer<Boolean> then) {}
 
     /** Creates a gate; the action takes each request that becomes suspected, or of which more is known. */
-    SuspectGate(ServingContext context, Consumer<RequestDigest> whenSuspected) {
+    SuspectGate(ServingContext context, Consumer<RequestDigest> onSuspicionChanged) {
         this.context = context;
-        this.ends = new EndCheck(context);
-        this.whenSuspected = whenSuspected;
+        this.crashCheck = new CrashCheck(context);
+        this.onSuspicionChanged = onSuspicionChanged;
     }
 
     /** Tells whether a failure may mean that the upstream ended, and was not about to leave. */
-    boolean mayHaveEnded(UpstreamEntry upstream, FailureKind kind) {
-        return ends.mayHaveEnded(upstream, kind);
+    boolean mayHaveCrashed(UpstreamEntry upstream, FailureKind kind) {
+        return crashCheck.mayHaveCrashed(upstream, kind);
     }
 
     /** Notes that an upstream left as planned, so that the end of its process says nothing. */
-    void leftAsPlanned(UpstreamId start) {
-        ends.leftAsPlanned(start);
+    void stoppedAsPlanned(UpstreamId start) {
+        crashCheck.stoppedAsPlanned(start);
     }
 
     /** Finds out whether an upstream ended at which an attempt broke off, and goes on then. */
-    void brokeOff(UpstreamEntry upstream, RequestDigest request, boolean begun, Consumer<Boolean> then) {
-        BrokenOff one = new BrokenOff(request, begun, then);
-        List<BrokenOff> others = waiting.get(upstream.id());
+    void attemptInterrupted(
+            UpstreamEntry upstream, RequestDigest request, boolean answerStarted, Consumer<Boolean> then) {
+        InterruptedAttempt one = new InterruptedAttempt(request, answerStarted, then);
+        List<InterruptedAttempt> others = waiting.get(upstream.id());
         if (others != null) {
             others.add(one);
             return;
         }
         waiting.put(upstream.id(), new ArrayList<>(List.of(one)));
-        ends.hasEnded(upstream).subscribe(ended -> answered(upstream, ended));
+        crashCheck.hasCrashed(upstream).subscribe(crashed -> crashChecked(upstream, crashed));
     }
 
     /** Judges all attempts that broke off at an upstream, then lets each go on. */
-    private void answered(UpstreamEntry upstream, boolean ended) {
-        List<BrokenOff> all = waiting.remove(upstream.id());
-        if (ended) {
-            note(upstream.id(), all);
+    private void crashChecked(UpstreamEntry upstream, boolean crashed) {
+        List<InterruptedAttempt> all = waiting.remove(upstream.id());
+        if (crashed) {
+            recordCrash(upstream.id(), all);
         } else {
-            context.loop().schedule(ASK_AGAIN_MILLIS, () -> askAgain(upstream, all));
+            context.loop().schedule(CRASH_RECHECK_MILLIS, () -> recheckCrash(upstream, all));
         }
-        all.forEach(one -> one.then().accept(ended));
+        all.forEach(one -> one.then().accept(crashed));
     }
 
     /** Judges attempts that went on already, if their upstream has ended meanwhile. */
-    private void askAgain(UpstreamEntry upstream, List<BrokenOff> all) {
-        if (ends.isListedToStay(upstream.id())) {
-            ends.ask(upstream).filter(ended -> ended).subscribe(ended -> note(upstream.id(), all));
+    private void recheckCrash(UpstreamEntry upstream, List<InterruptedAttempt> all) {
+        if (crashCheck.isListedAndServing(upstream.id())) {
+            crashCheck
+                    .isConnectionRefused(upstream)
+                    .filter(crashed -> crashed)
+                    .subscribe(crashed -> recordCrash(upstream.id(), all));
         }
     }
 
     /** Notes the end of an upstream, here and at the other routers. */
-    private void note(UpstreamId upstream, List<BrokenOff> all) {
+    private void recordCrash(UpstreamId upstream, List<InterruptedAttempt> all) {
         long now = context.nowMillis();
         List<RequestDigest> requests = new ArrayList<>();
-        List<RequestDigest> begun = new ArrayList<>();
+        List<RequestDigest> answerStarted = new ArrayList<>();
         boolean repeated = false;
-        for (BrokenOff one : all) {
-            ObservedCrash end = new ObservedCrash(upstream, one.begun(), now);
+        for (InterruptedAttempt one : all) {
+            ObservedCrash end = new ObservedCrash(upstream, one.answerStarted(), now);
             if (context.suspects().upstreamCrashed(one.request(), end, context.process(), now)) {
-                (one.begun() ? begun : requests).add(one.request());
+                (one.answerStarted() ? answerStarted : requests).add(one.request());
                 repeated |=
                         context.suspects().find(one.request(), now).crashes().size() > 1;
             }
         }
-        if (requests.isEmpty() && begun.isEmpty()) {
+        if (requests.isEmpty() && answerStarted.isEmpty()) {
             return;
         }
-        context.suspectGossip().upstreamCrashed(upstream, requests, begun, repeated);
-        requests.forEach(this::suspected);
-        begun.forEach(this::suspected);
+        context.suspectGossip().upstreamCrashed(upstream, requests, answerStarted, repeated);
+        requests.forEach(this::reportSuspected);
+        answerStarted.forEach(this::reportSuspected);
     }
 
     /** Tells of an end under a request that this router saw. */
-    private void suspected(RequestDigest request) {
-        SuspectedRequest suspicion = context.suspects().find(request, context.nowMillis());
+    private void reportSuspected(RequestDigest request) {
+        SuspectedRequest suspect = context.suspects().find(request, context.nowMillis());
         context.log()
                 .line("suspected")
                 .put("content", request.toString())
-                .put("ends", suspicion.crashes().size())
-                .put("upstreams", suspicion.upstreams())
-                .put("since_millis", context.nowMillis() - suspicion.sinceMillis())
+                .put("ends", suspect.crashes().size())
+                .put("upstreams", suspect.upstreams())
+                .put("since_millis", context.nowMillis() - suspect.sinceMillis())
                 .write();
-        if (suspicion.crashes().size() >= ENDS_TOLD_TO_ALL) {
-            context.suspectGossip().broadcast(suspicion);
+        if (suspect.crashes().size() >= BROADCAST_CRASHES) {
+            context.suspectGossip().broadcast(suspect);
         }
-        moreKnown(request);
+        suspicionChanged(request);
     }
 
     /** Looks again at what is in flight of a request of which more is known, and once its cause can be known. */
-    void moreKnown(RequestDigest request) {
-        whenSuspected.accept(request);
+    void suspicionChanged(RequestDigest request) {
+        onSuspicionChanged.accept(request);
         if (context.suspects().mayBeCause(request)) {
             context.loop().schedule(REVIEW_MILLIS, () -> {
                 if (context.suspects().isRefused(request, context.nowMillis())) {
-                    whenSuspected.accept(request);
+                    onSuspicionChanged.accept(request);
                 }
             });
         }
@@ -172,13 +176,13 @@
     }
 
     /** Notes that a suspected request is sent. */
-    void trying(RequestDigest request, UpstreamId upstream, long limitMillis) {
+    void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis) {
         context.suspects().trialStarted(request, context.process(), upstream, context.nowMillis() + limitMillis);
         context.suspectGossip().trialStarted(request, upstream, limitMillis);
     }
 
     /** Notes that a suspected request is at no upstream any more. */
-    void tried(RequestDigest request) {
+    void trialEnded(RequestDigest request) {
         context.suspects().trialEnded(request, context.process(), context.nowMillis());
         context.suspectGossip().trialEnded(request);
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGossip.java
@@ -14,18 +14,18 @@
      *
      * @param upstream the start that ended
      * @param requests what was in flight there and had got nothing of its answer
-     * @param begun what had got some of it
+     * @param answerStarted what had got some of it
      * @param repeated whether other upstreams ended under one of these requests before
      */
     void upstreamCrashed(
-            UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> begun, boolean repeated);
+            UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> answerStarted, boolean repeated);
 
     /**
      * Tells all that is known of a request, also to routers that stand by: callers may come to them with it.
      *
-     * @param suspicion what is known
+     * @param suspect what is known
      */
-    void broadcast(SuspectedRequest suspicion);
+    void broadcast(SuspectedRequest suspect);
 
     /**
      * Tells that a suspected request is sent.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunSuspicion.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectTracker.java
@@ -12,17 +12,17 @@
  * <p>The body is hashed only if an upstream ended under the run, or if a request with the same head is suspected: a
  * prompt of a million tokens takes about 10 ms, which its first token would wait for.
  */
-final class RunSuspicion {
+final class SuspectTracker {
 
     private final SuspectGate gate;
     private final RequestFacts facts;
     private ByteBuf body;
     private Long head;
     private RequestDigest digest;
-    private boolean tries;
+    private boolean trialStarted;
 
     /** Creates the suspicion of a run whose body has not come. */
-    RunSuspicion(SuspectGate gate, RequestFacts facts) {
+    SuspectTracker(SuspectGate gate, RequestFacts facts) {
         this.gate = gate;
         this.facts = facts;
     }
@@ -35,7 +35,7 @@
     /** Returns what tells the request apart over its repeats. */
     RequestDigest digest() {
         if (digest == null) {
-            digest = new RequestDigest(head(), RequestDigest.hashBody(body.nioBuffers(), facts.accountId()));
+            digest = new RequestDigest(head(), RequestDigest.hashBody(body.nioBuffers(), facts.clientAccountId()));
         }
         return digest;
     }
@@ -49,7 +49,7 @@
     }
 
     /** Tells whether this is a suspected request. */
-    boolean is(RequestDigest request) {
+    boolean matches(RequestDigest request) {
         return body != null && request.head() == head() && request.equals(digest());
     }
 
@@ -62,14 +62,14 @@
     /** Notes that it is sent on a decision. */
     void sent(SuspectDecision decision, UpstreamId upstream, long limitMillis) {
         if (decision.action() == SuspectDecision.Action.TRY) {
-            tries(upstream, limitMillis);
+            trialStarted(upstream, limitMillis);
         }
     }
 
     /** Notes that it is at an upstream, so that the same request is sent to no other meanwhile. */
-    void tries(UpstreamId upstream, long limitMillis) {
-        tries = true;
-        gate.trying(digest(), upstream, limitMillis);
+    void trialStarted(UpstreamId upstream, long limitMillis) {
+        trialStarted = true;
+        gate.trialStarted(digest(), upstream, limitMillis);
     }
 
     /** Tells whether it is the cause of its upstreams' ends. */
@@ -78,20 +78,20 @@
     }
 
     /** Tells whether it is suspected, and was sent before that was known, so that its repeats may be sent too. */
-    boolean isOneOfMany() {
-        return !tries && gate.isSuspected(digest());
+    boolean isSentBeforeSuspected() {
+        return !trialStarted && gate.isSuspected(digest());
     }
 
     /** Returns what tells the request apart if it is refused as suspected, else {@code null}. */
-    RequestDigest digestOf(RefusalCause cause) {
+    RequestDigest digestIfSuspected(RefusalCause cause) {
         return cause == RefusalCause.ENDS_UPSTREAMS || cause == RefusalCause.REPEAT_IN_TRIAL ? digest() : null;
     }
 
     /** Notes that it is at no upstream any more. */
-    void ended() {
-        if (tries) {
-            tries = false;
-            gate.tried(digest());
+    void attemptEnded() {
+        if (trialStarted) {
+            trialStarted = false;
+            gate.trialEnded(digest());
         }
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChoice.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChoice.java
@@ -13,7 +13,7 @@
  * @param placement the placement on engines, or {@code null} for a plain service
  * @param predictedMillis predicted time to the first event, in milliseconds; 0 for a plain service
  * @param reserves whether memory must be reserved first
- * @param dear whether others would lose more by it now than the answer is worth, so that it should wait
+ * @param expensive whether others would lose more by it now than the answer is worth, so that it should wait
  * @param refused whether others would lose so much that it is refused if it can wait no longer
  */
 record UpstreamChoice(
@@ -22,5 +22,5 @@
         EnginePlacement placement,
         double predictedMillis,
         boolean reserves,
-        boolean dear,
+        boolean expensive,
         boolean refused) {}
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
@@ -35,41 +35,41 @@
     private final ServingContext context;
     private final UpstreamGates gates;
     private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
-    private final SilenceCheck silence;
+    private final SilenceCheck silenceCheck;
     private long placements;
 
     /** Creates a chooser. */
     UpstreamChooser(ServingContext context, UpstreamGates gates) {
         this.context = context;
         this.gates = gates;
-        this.silence = new SilenceCheck(context, gates);
+        this.silenceCheck = new SilenceCheck(context, gates);
     }
 
     /** Returns what finds out why an engine is silent. */
-    SilenceCheck silence() {
-        return silence;
+    SilenceCheck silenceCheck() {
+        return silenceCheck;
     }
 
     /** Chooses the upstreams for the next send of a request; {@code null} if none can answer in time. */
-    UpstreamChoice choose(RequestFacts facts, boolean begun, Set<UpstreamId> excluded) {
+    UpstreamChoice choose(RequestFacts facts, boolean answerStarted, Set<UpstreamId> excluded) {
         return facts.runsOnEngines()
-                ? engines(
+                ? chooseEngines(
                         facts.service(),
                         facts.profile().engine().orElseThrow(),
-                        facts.prompt(context.nowMillis(), begun),
+                        facts.prompt(context.nowMillis(), answerStarted),
                         excluded)
-                : plain(facts.service(), excluded);
+                : choosePlain(facts.service(), excluded);
     }
 
     /** Chooses an upstream of a plain service; {@code null} if none is listed. */
-    private UpstreamChoice plain(ServiceId service, Set<UpstreamId> excluded) {
+    private UpstreamChoice choosePlain(ServiceId service, Set<UpstreamId> excluded) {
         UpstreamEntry best = null;
         double bestCost = Double.MAX_VALUE;
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             double cost = inFlight.getOrDefault(entry.id(), 0)
                     + FAILURE_WEIGHT * context.outlierDetector().failureProbability(entry.id(), context.nowMillis())
                     + (entry.dataCentre().equals(context.dataCentre()) ? 0 : DISTANCE_WEIGHT);
-            if (!excluded.contains(entry.id()) && cost < bestCost && gates.opensMillis(entry.id()) == 0) {
+            if (!excluded.contains(entry.id()) && cost < bestCost && gates.blockedMillis(entry.id()) == 0) {
                 best = entry;
                 bestCost = cost;
             }
@@ -78,13 +78,13 @@
     }
 
     /** Chooses engines for a prompt; {@code null} if none can give a first event in time. */
-    private UpstreamChoice engines(
+    private UpstreamChoice chooseEngines(
             ServiceId service, EngineProfile profile, PromptRequest request, Set<UpstreamId> excluded) {
         long now = context.nowMillis();
         context.loadTable().expire(now);
         List<EngineCandidate> candidates = new ArrayList<>();
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
-            if (!excluded.contains(entry.id()) && gates.opensMillis(entry.id()) == 0) {
+            if (!excluded.contains(entry.id()) && gates.blockedMillis(entry.id()) == 0) {
                 context.loadTable().load(entry.id()).profile(profile);
                 candidates.add(new EngineCandidate(
                         entry.id(),
@@ -94,7 +94,7 @@
                         !gates.limits().isLimited(entry.id())));
             }
         }
-        List<EngineCandidate> ordered = context.news().hasPeerPlacements()
+        List<EngineCandidate> ordered = context.placementGossip().hasPeerPlacements()
                 ? candidates
                 : PerRouterEngineOrder.of(context.process(), candidates);
         PlacementChoice choice = ordered.isEmpty() ? null : new EnginePlacer(profile).choose(request, ordered, now);
@@ -124,62 +124,63 @@
     }
 
     /** Returns when the first upstream of a service opens, if all that may be used are closed now. */
-    Opening opening(ServiceId service, Set<UpstreamId> excluded) {
+    NextAvailability nextAvailability(ServiceId service, Set<UpstreamId> excluded) {
         if (gates.isIdle()) {
-            return Opening.NOW;
+            return NextAvailability.IMMEDIATE;
         }
-        Opening first = null;
+        NextAvailability first = null;
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             if (!excluded.contains(entry.id())) {
-                long millis = gates.opensMillis(entry.id());
+                long millis = gates.blockedMillis(entry.id());
                 if (first == null || millis < first.millis()) {
-                    boolean limited = millis > gates.backOffs().opensMillis(entry.id());
-                    first = new Opening(millis, limited ? PassedOverCause.LIMIT : PassedOverCause.BACK_OFF);
+                    boolean rateLimited = millis > gates.backOffs().blockedMillis(entry.id());
+                    first = new NextAvailability(
+                            millis, rateLimited ? PassedOverCause.LIMIT : PassedOverCause.BACK_OFF);
                 }
             }
         }
-        return first == null || first.millis() == 0 ? Opening.NOW : first;
+        return first == null || first.millis() == 0 ? NextAvailability.IMMEDIATE : first;
     }
 
     /** Lists the upstreams of a service that get no requests now, by what their answers said. */
-    PassedOver passedOver(ServiceId service) {
+    SkippedUpstreams skippedUpstreams(ServiceId service) {
         if (gates.isIdle() && context.upstreams().drains().isEmpty()) {
-            return PassedOver.NONE;
+            return SkippedUpstreams.NONE;
         }
         List<UpstreamEntry> usable = context.upstreams().usable(service);
-        return new PassedOver(
+        return new SkippedUpstreams(
                 usable.stream()
-                        .filter(entry -> gates.limits().opensMillis(entry.id()) > 0)
+                        .filter(entry -> gates.limits().blockedMillis(entry.id()) > 0)
                         .toList(),
                 context.upstreams().draining(service),
                 usable.stream()
-                        .filter(entry -> gates.backOffs().opensMillis(entry.id()) > 0)
+                        .filter(entry -> gates.backOffs().blockedMillis(entry.id()) > 0)
                         .toList());
     }
 
     /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
-    boolean fasterElsewhere(RequestFacts facts, UpstreamChoice used, boolean begun, Set<UpstreamId> excluded) {
+    boolean fasterElsewhere(RequestFacts facts, UpstreamChoice used, boolean answerStarted, Set<UpstreamId> excluded) {
         UpstreamId engine = used.upstream().id();
-        double here = nextEventMillis(used, begun);
-        if (here < CallerPatience.WORTH_MOVING_MILLIS) {
+        double here = nextEventMillis(used, answerStarted);
+        if (here < TimeoutPolicy.MIN_MOVE_GAIN_MILLIS) {
             return false;
         }
         Set<UpstreamId> others = new HashSet<>(excluded);
         others.add(engine);
-        UpstreamChoice elsewhere = choose(facts, begun, others);
+        UpstreamChoice elsewhere = choose(facts, answerStarted, others);
         return elsewhere != null
-                && !elsewhere.dear()
-                && elsewhere.predictedMillis() + CallerPatience.WORTH_MOVING_MILLIS < here;
+                && !elsewhere.expensive()
+                && elsewhere.predictedMillis() + TimeoutPolicy.MIN_MOVE_GAIN_MILLIS < here;
     }
 
     /** Predicts when a stream gets its next event; one that is still read by several engines, when all have done so. */
-    private double nextEventMillis(UpstreamChoice used, boolean begun) {
+    private double nextEventMillis(UpstreamChoice used, boolean answerStarted) {
         long now = context.nowMillis();
-        double reading = begun || used.helpers().isEmpty()
+        double prefillMillis = answerStarted || used.helpers().isEmpty()
                 ? 0
                 : context.loadTable().remainingPrefillMillis(used.placement().id(), now);
-        return reading > 0
-                ? reading
+        return prefillMillis > 0
+                ? prefillMillis
                 : context.loadTable().load(used.upstream().id()).nextEventMillis(now);
     }
 
@@ -189,37 +190,37 @@
         context.outlierDetector().trialStarted(choice.upstream().id(), context.nowMillis());
         if (choice.placement() != null) {
             context.loadTable().place(choice.placement(), context.nowMillis(), limitMillis);
-            context.news().placed(choice.placement(), limitMillis);
+            context.placementGossip().placed(choice.placement(), limitMillis);
         }
     }
 
     /** Notes that the first event came. */
-    void writing(UpstreamChoice choice) {
+    void decodeStarted(UpstreamChoice choice) {
         if (choice.placement() != null) {
             context.loadTable().startDecoding(choice.placement().id(), context.nowMillis());
-            context.news().decodeStarted(choice.placement());
+            context.placementGossip().decodeStarted(choice.placement());
         }
     }
 
     /** Lets a failure count against the upstream that caused it, here and at the other routers, unless it leaves. */
-    void failed(UpstreamId blamed, FailureKind kind) {
-        if (context.upstreams().isDraining(blamed)) {
+    void failed(UpstreamId responsible, FailureKind kind) {
+        if (context.upstreams().isDraining(responsible)) {
             return;
         }
         long now = context.nowMillis();
         long avoid = 0;
         if (kind == FailureKind.FULL) {
-            avoid = context.outlierDetector().rejectedAsFull(blamed, now);
+            avoid = context.outlierDetector().rejectedAsFull(responsible, now);
         } else if (kind.countsAsFailure()) {
-            avoid = context.outlierDetector().failed(blamed, kind, now);
+            avoid = context.outlierDetector().failed(responsible, kind, now);
         }
         if (avoid == 0) {
             return;
         }
-        context.news().avoided(blamed, avoid);
+        context.placementGossip().avoided(responsible, avoid);
         context.log()
                 .line("avoided")
-                .put("upstream", blamed.value())
+                .put("upstream", responsible.value())
                 .put("kind", kind.code())
                 .put("avoid_millis", avoid)
                 .write();
@@ -230,7 +231,7 @@
         inFlight.computeIfPresent(choice.upstream().id(), (id, count) -> count > 1 ? count - 1 : null);
         if (choice.placement() != null) {
             context.loadTable().remove(choice.placement().id(), context.nowMillis());
-            context.news().ended(choice.placement());
+            context.placementGossip().ended(choice.placement());
         }
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
@@ -45,8 +45,8 @@
     }
 
     /** Returns the time until a request to an upstream may pass, in milliseconds; 0 if it may pass or be asked for. */
-    long opensMillis(UpstreamId upstream) {
-        return Math.max(limits.opensMillis(upstream), backOffs.opensMillis(upstream));
+    long blockedMillis(UpstreamId upstream) {
+        return Math.max(limits.blockedMillis(upstream), backOffs.blockedMillis(upstream));
     }
 
     /** Says why a choice that was made is not sent now; {@code null} if it is, as far as answers say. */
@@ -63,7 +63,7 @@
         if (context.upstreams().isDraining(upstream)) {
             return PassedOverCause.DRAINING;
         }
-        return backOffs.opensMillis(upstream) > 0 ? PassedOverCause.BACK_OFF : null;
+        return backOffs.blockedMillis(upstream) > 0 ? PassedOverCause.BACK_OFF : null;
     }
 
     /**
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/AttemptCountTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/AttemptCountTest.java
@@ -36,10 +36,10 @@
     }
 
     private RefusalCause fail(FailureKind kind, boolean leaving) {
-        boolean isFree = attempts.isFree(kind, leaving);
+        boolean isUncounted = attempts.isUncounted(kind, leaving);
         attempts.send();
-        attempts.failed(kind, isFree);
-        return attempts.whyNotAgain(kind, isFree, LEFT_MILLIS);
+        attempts.failed(kind, isUncounted);
+        return attempts.retryRefusal(kind, isUncounted, LEFT_MILLIS);
     }
 
     /**
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -38,7 +38,7 @@
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
     private final LimitTable limits = new LimitTable();
-    private final DenyingLimitGossip news = new DenyingLimitGossip();
+    private final DenyingLimitGossip limitGossip = new DenyingLimitGossip();
     private final ServingContext context = new ServingContext(
             null,
             null,
@@ -54,7 +54,7 @@
             null,
             null,
             limits,
-            news,
+            limitGossip,
             null,
             null,
             log,
@@ -85,18 +85,18 @@
                 String reservation,
                 long tokens,
                 long holdMillis,
-                Consumer<UpstreamNotice> heard) {
-            return Mono.fromSupplier(() -> taken(heard));
+                Consumer<UpstreamNotice> onNotice) {
+            return Mono.fromSupplier(() -> taken(onNotice));
         }
 
         @Override
-        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> heard) {
-            return Mono.fromSupplier(() -> taken(heard));
+        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
+            return Mono.fromSupplier(() -> taken(onNotice));
         }
 
-        private boolean taken(Consumer<UpstreamNotice> heard) {
+        private boolean taken(Consumer<UpstreamNotice> onNotice) {
             orders++;
-            heard.accept(new UpstreamNotice(
+            onNotice.accept(new UpstreamNotice(
                     new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
                     AdvertisedDrain.ABSENT,
                     AdvertisedBackOff.ABSENT));
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> heard) {
+        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
             return Mono.error(new IllegalStateException("No report is expected."));
         }
     }
@@ -124,7 +124,7 @@
         assertThat(helpers.reserve().block()).isTrue();
         helpers.release();
         assertThat(orders).isEqualTo(2);
-        assertThat(news.charged).isEqualTo(2);
-        assertThat(news.asked).isZero();
+        assertThat(limitGossip.charged).isEqualTo(2);
+        assertThat(limitGossip.asked).isZero();
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -66,7 +66,7 @@
     private Mono<EngineCalls.Report> report = Mono.just(new EngineCalls.Report(5, 3, 1));
     private UpstreamNotice notice = UpstreamNotice.NONE;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
-    private final EngineLoadTable board = new EngineLoadTable();
+    private final EngineLoadTable loadTable = new EngineLoadTable();
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final LimitTable limits = new LimitTable();
     private final DenyingLimitGossip limitGossip = new DenyingLimitGossip();
@@ -77,7 +77,7 @@
             null,
             new UpstreamTable(),
             null,
-            board,
+            loadTable,
             null,
             null,
             new Engines(),
@@ -106,20 +106,20 @@
                 String reservation,
                 long tokens,
                 long holdMillis,
-                Consumer<UpstreamNotice> heard) {
+                Consumer<UpstreamNotice> onNotice) {
             return Mono.error(new IllegalStateException("No order is expected."));
         }
 
         @Override
-        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> heard) {
+        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
             return Mono.error(new IllegalStateException("No order is expected."));
         }
 
         @Override
-        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> heard) {
+        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
             return Mono.defer(() -> {
                 asked++;
-                heard.accept(notice);
+                onNotice.accept(notice);
                 return report;
             });
         }
@@ -132,27 +132,27 @@
      */
     @Test
     void leavesStreamsAtAnEngineThatIsBusy() {
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.BUSY);
-        assertThat(board.load(ENGINE.id()).slowdown()).isEqualTo(5);
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.BUSY);
+        assertThat(loadTable.load(ENGINE.id()).slowdown()).isEqualTo(5);
     }
 
     @Test
     void movesStreamsFromAnEngineThatDoesNotAnswer() {
         report = Mono.error(new IllegalStateException("no answer"));
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.GONE);
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.DEAD);
     }
 
     @Test
     void movesStreamsFromAnEngineThatStartedAgain() {
         report = Mono.just(new EngineCalls.Report(1, 0, ENGINE.id().incarnation() + 1));
-        assertThat(check.gone(ENGINE).block()).isTrue();
+        assertThat(check.isDead(ENGINE).block()).isTrue();
     }
 
     @Test
     void movesAStreamThatIsSilentAloneWithoutAsking() {
-        check.progress(ENGINE.id());
+        check.eventReceived(ENGINE.id());
         nowMillis += 100;
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.PASSED_OVER);
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.PASSED_OVER);
         assertThat(asked).isZero();
     }
 
@@ -163,10 +163,10 @@
      */
     @ParameterizedTest
     @CsvSource({"4, BUSY", "0, PASSED_OVER"})
-    void tellsAQueueFromALossWhileOtherStreamsGoOn(int queued, Silence expected) {
+    void tellsAQueueFromALossWhileOtherStreamsGoOn(int queued, SilenceCause expected) {
         report = Mono.just(new EngineCalls.Report(1, queued, 1));
-        check.progress(ENGINE.id());
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(expected);
+        check.eventReceived(ENGINE.id());
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(expected);
     }
 
     /**
@@ -176,17 +176,17 @@
      */
     @ParameterizedTest
     @CsvSource({"1000, BUSY", "1900, BUSY", "2100, PASSED_OVER"})
-    void leavesAPromptThatHelpersStillRead(long afterMillis, Silence expected) {
-        board.load(ENGINE.id()).profile(PROFILE);
-        board.load(HELPER.id()).profile(PROFILE);
+    void leavesAPromptThatHelpersStillRead(long afterMillis, SilenceCause expected) {
+        loadTable.load(ENGINE.id()).profile(PROFILE);
+        loadTable.load(HELPER.id()).profile(PROFILE);
         EnginePlacement older = place(1, ENGINE, HELPER);
         place(2, HELPER);
         UpstreamChoice choice = new UpstreamChoice(ENGINE, List.of(HELPER), older, 1_000, false, false, false);
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         nowMillis = afterMillis;
-        check.progress(ENGINE.id());
+        check.eventReceived(ENGINE.id());
 
-        assertThat(check.reason(choice, false).block()).isEqualTo(expected);
+        assertThat(check.cause(choice, false).block()).isEqualTo(expected);
     }
 
     /** Places a prompt of which each engine reads for a second, ahead of what is there. */
@@ -197,31 +197,31 @@
         }
         parts.add(new EnginePart(new UpstreamId("other-" + number, 1), 1_000, 0));
         EnginePlacement placement = new EnginePlacement(new PlacementId(ROUTER, number), parts, 200_000, 3_000, 1_000);
-        board.place(placement, nowMillis, 15_000);
+        loadTable.place(placement, nowMillis, 15_000);
         return placement;
     }
 
     @Test
     void leavesARequestAtAnEngineThatIsSilentOnAllButAnswers() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(Silence.BUSY);
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
     }
 
     @Test
     void asksOnceForAllStreamsThatAreSilentTogether() {
         for (int i = 0; i < 10; i++) {
-            check.reason(ALONE, true).block();
+            check.cause(ALONE, true).block();
         }
         assertThat(asked).isEqualTo(1);
         nowMillis += 10_000;
-        check.reason(ALONE, true).block();
+        check.cause(ALONE, true).block();
         assertThat(asked).isEqualTo(2);
     }
 
     @Test
     void takesAnEngineForBusyThatMayNotBeAskedAsItsLimitIsUsedUp() {
         limits.reportedByPeer(ENGINE.id(), new RateLimit(1, 0));
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(Silence.BUSY);
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
         assertThat(limitGossip.asked).isEqualTo(1);
         assertThat(asked).isZero();
     }
@@ -231,7 +231,7 @@
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
                 new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
-        check.reason(ALONE, false).block();
+        check.cause(ALONE, false).block();
         assertThat(limits.find(ENGINE.id()).perSecond()).isEqualTo(3);
     }
 
@@ -242,10 +242,10 @@
         AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
-        assertThat(gated.gone(ENGINE).block()).isFalse();
+        assertThat(gated.isDead(ENGINE).block()).isFalse();
         assertThat(asked).isZero();
         nowMillis += 3_000;
-        gated.gone(ENGINE).block();
+        gated.isDead(ENGINE).block();
         assertThat(asked).isEqualTo(1);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
@@ -33,14 +33,14 @@
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final OutlierDetector judge = new OutlierDetector();
+    private final OutlierDetector outlierDetector = new OutlierDetector();
     private final ServingContext context = new ServingContext(
             null,
             null,
             loop,
             null,
             upstreams,
-            judge,
+            outlierDetector,
             new EngineLoadTable(),
             null,
             null,
@@ -67,6 +67,6 @@
         upstreams.put(LEAVING);
         upstreams.drains().reportedByPeer(LEAVING.id(), 0, 0);
         new UpstreamChooser(context, new UpstreamGates(context)).failed(LEAVING.id(), kind);
-        assertThat(judge.failureProbability(LEAVING.id(), 0)).isZero();
+        assertThat(outlierDetector.failureProbability(LEAVING.id(), 0)).isZero();
     }
 }
