--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -16,13 +16,16 @@
 import org.apricotstack.serving.http.UpstreamCall;
 import org.apricotstack.serving.http.UpstreamListener;
 
-/** One send of a request to an upstream; holds the answer until it is whole, so that a cut one can be replaced. */
+/**
+ * One attempt to send a request to an upstream. Buffers the response until it is complete, so that another attempt can
+ * replace a truncated one.
+ */
 class Attempt implements UpstreamListener {
 
-    /** Longest answer that is held, in bytes; a longer one is not what plain services give. */
-    private static final int MAX_HELD_BYTES = 4 * 1024 * 1024;
+    /** Largest response that is buffered, in bytes; plain services do not send larger ones. */
+    private static final int MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-    /** Share of the allowed silence after which the engine is asked whether it is there. */
+    /** Share of the allowed silence after which the engine is probed. */
     private static final double PROBE_SHARE = 0.45;
 
     private final RequestRun run;
@@ -37,14 +40,14 @@
     private HttpResponse raw;
     private CompositeByteBuf body;
 
-    /** Creates an attempt that was not sent yet. */
+    /** Creates an attempt that has not been sent. */
     Attempt(RequestRun run, UpstreamChoice choice, long startMillis) {
         this.run = run;
         this.choice = choice;
         this.startMillis = startMillis;
     }
 
-    /** Notes the call that carries the attempt, and how long it may be silent. */
+    /** Sets the call that carries the attempt and starts the watchdog with the longest allowed silence. */
     void sent(UpstreamCall carrier, long limitMillis) {
         call = carrier;
         if (!finished) {
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Expects something within a time; 0 expects nothing. */
+    /** Restarts the watchdog, which fires if nothing arrives within the limit; 0 stops it. */
     final void watchdog(long limitMillis) {
         if (watchdog != null) {
             watchdog.cancel(false);
@@ -68,7 +71,7 @@
         }
     }
 
-    /** Ends the attempt if its engine is gone; otherwise waits for the rest of the time. */
+    /** Abandons the attempt if its engine is dead; otherwise waits for the rest of the allowed silence. */
     private void probeEngine() {
         if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
@@ -87,7 +90,7 @@
         });
     }
 
-    /** Ends the attempt if another one would do better. */
+    /** Abandons the attempt if the cause of the silence or the load of other engines justifies a retry. */
     private void checkSilenceCause() {
         if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
@@ -107,25 +110,25 @@
         });
     }
 
-    /** Ends the attempt of a plain request if another one may be made. */
+    /** Abandons the attempt at a plain service if the request may be retried. */
     private void abandonIfRetryAllowed() {
         if (!finished && run.mayRetry(FailureKind.SILENT)) {
             abandon(FailureKind.SILENT);
         }
     }
 
-    /** Ends the attempt. */
+    /** Cancels the call and reports the failure. */
     private void abandon(FailureKind kind) {
         call.cancel();
         failed(kind);
     }
 
-    /** Tells whether events of the answer came. */
+    /** Returns whether events of the response have arrived. */
     boolean answerStarted() {
         return false;
     }
 
-    /** Ends the attempt, as the process that it was sent to is over. */
+    /** Fails the attempt because the upstream process that it was sent to no longer exists. */
     final void upstreamRestarted() {
         if (call != null && !finished) {
             call.cancel();
@@ -133,27 +136,27 @@
         }
     }
 
-    /** Returns the upstreams that it uses. */
+    /** Returns the upstreams chosen for this attempt. */
     final UpstreamChoice choice() {
         return choice;
     }
 
-    /** Returns the upstream that answers. */
+    /** Returns the upstream that responds. */
     final UpstreamEntry upstream() {
         return choice.upstream();
     }
 
-    /** Returns when it was sent. */
+    /** Returns when the attempt was started, in milliseconds of the loop's clock. */
     final long startMillis() {
         return startMillis;
     }
 
-    /** Returns the request's run. */
+    /** Returns the run of the request. */
     final RequestRun run() {
         return run;
     }
 
-    /** Ends the attempt; the upstream notices. */
+    /** Cancels the attempt and closes its connection, which the upstream detects. */
     final void cancel() {
         if (!finished) {
             close();
@@ -163,14 +166,14 @@
         }
     }
 
-    /** Stops or resumes reading the answer. */
+    /** Pauses or resumes reading the response. */
     final void read(boolean reading) {
         if (call != null && !finished) {
             call.read(reading);
         }
     }
 
-    /** Notes that nothing more is expected. */
+    /** Marks the attempt as finished and frees its buffer. */
     private void close() {
         finished = true;
         watchdog(0);
@@ -203,7 +206,7 @@
             body = Unpooled.compositeBuffer(Integer.MAX_VALUE);
         }
         body.addComponent(true, data.retain());
-        if (body.readableBytes() > MAX_HELD_BYTES) {
+        if (body.readableBytes() > MAX_BUFFERED_BYTES) {
             cancel();
             run.attemptFailed(this, FailureKind.SPOILED);
         }
@@ -225,7 +228,7 @@
         }
     }
 
-    /** Says what is wrong with an answer that came whole; {@code null} if nothing is. */
+    /** Classifies a complete response; {@code null} if it is not a failure. */
     static FailureKind failureOf(ResponseHead answer) {
         if (answer.wrongInstance()) {
             return FailureKind.OTHER_INSTANCE;
@@ -240,7 +243,7 @@
         return serverError ? FailureKind.ERROR : null;
     }
 
-    /** Says why an upstream did not run a request. */
+    /** Returns why an upstream rejected a request without running it. */
     private static FailureKind rejectionKind(ResponseHead answer) {
         if (answer.faultyHelperAddress() != null) {
             return FailureKind.HELPER_GONE;
@@ -252,7 +255,7 @@
         return requestsBackOff ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
-    /** Returns the helper that the answer names as the one at fault, or the upstream if it names none. */
+    /** Returns the helper that the response names as the faulty one, or the upstream if it names none. */
     final UpstreamId faultyHelper() {
         return choice.helpers().stream()
                 .filter(helper -> helper.address().toString().equals(head.faultyHelperAddress()))
@@ -269,12 +272,12 @@
         }
     }
 
-    /** Tells whether nothing more is expected. */
+    /** Returns whether the attempt has ended. */
     final boolean finished() {
         return finished;
     }
 
-    /** Notes that the answer came whole. */
+    /** Marks the attempt as finished after a complete response. */
     final void finish() {
         close();
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/AttemptCount.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/AttemptCount.java
@@ -8,33 +8,32 @@
 import org.apricotstack.serving.observe.RefusalCause;
 
 /**
- * Counts the sends of one request and says whether another may follow.
+ * Counts the attempts of one request and decides whether it may be retried.
  *
- * <p>Sends that reach no upstream, and those that an upstream turns away as it leaves, count for no attempt. Neither
- * does the first one that an upstream loses as it leaves; a request that makes one upstream after the other leave is
- * bounded by its attempts.
+ * <p>Attempts that reach no upstream, and those that a draining upstream rejects, are not counted. The first connection
+ * that a draining upstream drops is not counted either. Further ones are, so that the attempt limit bounds a request
+ * that makes one upstream after the other shut down.
  */
 final class AttemptCount {
 
-    /** Less time than this is not worth a send, in milliseconds. */
+    /** Least remaining time for which another attempt is worthwhile, in milliseconds. */
     static final long MIN_REMAINING_MILLIS = 5;
 
     /**
-     * Sends that count for no attempt, at most. Each costs a few milliseconds and goes to another upstream; engines
-     * that are lost together are also tried again together, and a prompt that meets them all still has the time for
-     * the next one.
+     * Maximum of uncounted attempts. Each takes a few milliseconds and goes to another upstream. Engines that crash
+     * together are also tried again together; a prompt that is sent to all of them still has time for the next engine.
      */
     private static final int MAX_UNCOUNTED = 12;
 
-    /** Failures of sends that no upstream got, or that were turned away. */
+    /** Failures where no upstream received the request, or the upstream is draining. */
     private static final Set<FailureKind> ALWAYS_UNCOUNTED =
             EnumSet.of(FailureKind.NO_CONNECTION, FailureKind.WITHHELD, FailureKind.DRAINING);
 
-    /** Failures by which an upstream that leaves does not run the request. */
+    /** Failures by which a draining upstream rejects the request without running it. */
     private static final Set<FailureKind> REJECTED_WHILE_DRAINING =
             EnumSet.of(FailureKind.FULL, FailureKind.OTHER_INSTANCE, FailureKind.HELPER_GONE);
 
-    /** Failures by which an upstream that leaves ends under the request. */
+    /** Failures by which a draining upstream drops the connection while the request is in flight. */
     private static final Set<FailureKind> CONNECTION_LOST = EnumSet.of(FailureKind.RESET, FailureKind.CUT);
 
     private final Route route;
@@ -43,24 +42,26 @@
     private boolean connectionLostOnce;
     private boolean mayHaveRun;
 
-    /** Creates a count of no sends. */
+    /** Creates a counter without attempts. */
     AttemptCount(Route route) {
         this.route = route;
     }
 
-    /** Notes a send. */
+    /** Records an attempt. */
     void send() {
         sent++;
     }
 
-    /** Tells whether a failure counts for no attempt, given whether the upstream that caused it is leaving. */
-    boolean isUncounted(FailureKind kind, boolean leaving) {
+    /**
+     * Returns whether a failure is not counted as an attempt, given whether the upstream that caused it is draining.
+     */
+    boolean isUncounted(FailureKind kind, boolean draining) {
         boolean uncountedWhileDraining =
                 REJECTED_WHILE_DRAINING.contains(kind) || CONNECTION_LOST.contains(kind) && !connectionLostOnce;
-        return ALWAYS_UNCOUNTED.contains(kind) || leaving && uncountedWhileDraining;
+        return ALWAYS_UNCOUNTED.contains(kind) || draining && uncountedWhileDraining;
     }
 
-    /** Notes how a send failed, and whether it counts for no attempt. */
+    /** Records how an attempt failed, and whether it is not counted. */
     void failed(FailureKind kind, boolean isUncounted) {
         mayHaveRun |= kind.mayHaveRun();
         if (isUncounted) {
@@ -70,22 +71,25 @@
         }
     }
 
-    /** Notes that the time ended while an upstream was at work. */
-    void timedOutInFlight() {
+    /** Records that the run ended while an attempt was in flight, which may have run the request. */
+    void endedInFlight() {
         mayHaveRun |= sent > 0;
     }
 
-    /** Returns how many upstreams the request was sent to. */
+    /** Returns the number of counted attempts. */
     int sent() {
         return sent;
     }
 
-    /** Tells whether some upstream may have run the request. */
+    /** Returns whether an upstream may have run the request. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Says why no send may follow a failure; {@code null} if one may, leaving the retry budget aside. */
+    /**
+     * Returns why the request may not be retried after a failure, or {@code null} if it may; the retry budget is
+     * checked elsewhere.
+     */
     RefusalCause retryRefusal(FailureKind kind, boolean isUncounted, long remainingMillis) {
         if (kind.mayHaveRun() && !route.idempotent()) {
             return RefusalCause.MAY_HAVE_RUN;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -5,47 +5,50 @@
 import org.apricotstack.core.upstream.BackOffTable;
 import org.apricotstack.serving.observe.DecisionLog;
 
-/** Notes which upstreams turned this router away and asked it to send them nothing for a while. */
+/** Tracks the back-offs that upstreams requested when they rejected requests of this router. */
 final class BackOffGate {
 
     private final ServingContext context;
     private final BackOffTable table = new BackOffTable();
 
-    /** Creates a gate. */
+    /** Creates a gate without back-offs. */
     BackOffGate(ServingContext context) {
         this.context = context;
     }
 
-    /** Takes in what an answer says; the request is {@code null} if it is no caller's. */
-    void answered(UpstreamId upstream, AdvertisedBackOff stated, String requestId) {
-        if (stated.kind() == AdvertisedBackOff.Kind.ABSENT) {
+    /**
+     * Processes the back-off that an upstream's answer requests; the request id is {@code null} if no caller's request
+     * was answered.
+     */
+    void answered(UpstreamId upstream, AdvertisedBackOff advertised, String requestId) {
+        if (advertised.kind() == AdvertisedBackOff.Kind.ABSENT) {
             return;
         }
-        context.metrics().backOff(stated.kind());
-        if (stated.kind() == AdvertisedBackOff.Kind.PRESENT
-                && table.backOffRequested(upstream, stated.millis(), context.nowMillis())) {
+        context.metrics().backOff(advertised.kind());
+        if (advertised.kind() == AdvertisedBackOff.Kind.PRESENT
+                && table.backOffRequested(upstream, advertised.millis(), context.nowMillis())) {
             DecisionLog.Line line = requestId == null
                     ? context.log().line("back_off_began")
                     : context.log().request("back_off_began", requestId);
             line.put("upstream", upstream.value())
                     .put("incarnation", upstream.incarnation())
-                    .put("millis", stated.millis())
+                    .put("millis", advertised.millis())
                     .write();
         }
         context.metrics().backOffsInForce(table.size());
     }
 
-    /** Returns the time until an upstream may be sent requests, in milliseconds; 0 if it may be sent some now. */
+    /** Returns the time until requests may be sent to an upstream, in milliseconds; 0 if they may be sent now. */
     long blockedMillis(UpstreamId upstream) {
         return table.isEmpty() ? 0 : table.opensMillis(upstream, context.nowMillis());
     }
 
-    /** Tells whether no upstream asked for a back-off. */
+    /** Returns whether no back-off is in force. */
     boolean isIdle() {
         return table.isEmpty();
     }
 
-    /** Writes down which back-offs are over. */
+    /** Removes and logs the back-offs that have ended. */
     void expire() {
         if (table.isEmpty()) {
             return;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/CrashCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/CrashCheck.java
@@ -12,21 +12,22 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Finds out whether an upstream ended when requests to it broke off or fell silent, or only their connections did.
+ * Finds out whether an upstream crashed when requests to it were interrupted or fell silent, or whether only their
+ * connections failed.
  *
- * <p>A process that has ended refuses the next connection at once. One that was told to leave ends as planned, which
- * says nothing of the requests that it still had.
+ * <p>The host of a crashed process refuses the next connection at once. A draining process exits as planned, which says
+ * nothing about the requests that were still in flight there.
  */
 final class CrashCheck {
 
-    /** Time for which an answer serves all requests that broke off at one upstream, in milliseconds. */
+    /** Time for which one result is reused for all requests that were interrupted at an upstream, in milliseconds. */
     private static final long CACHE_MILLIS = 500;
 
-    /** Failures of requests whose upstream may have ended; a connection may also fall silent when its upstream ends. */
+    /** Failures that may be caused by a crash; a connection may also fall silent when its upstream crashes. */
     private static final Set<FailureKind> POSSIBLE_CRASH =
             EnumSet.of(FailureKind.RESET, FailureKind.CUT, FailureKind.SILENT);
 
-    /** Upstreams that left as planned and are remembered, until requests that ran there have been ended. */
+    /** Maximum of remembered planned stops; each is needed until the requests that ran there have ended. */
     private static final int MAX_PLANNED_STOPS = 64;
 
     private final ServingContext context;
@@ -34,10 +35,10 @@
     private final Map<UpstreamId, Query> queries = new HashMap<>();
 
     /**
-     * A question to an upstream.
+     * A check of an upstream.
      *
-     * @param atMillis when the query was sent
-     * @param crashed its answer, which all requests share
+     * @param atMillis when the check was started
+     * @param crashed the result, shared by all requests
      */
     private record Query(long atMillis, Mono<Boolean> crashed) {}
 
@@ -46,14 +47,14 @@
         this.context = context;
     }
 
-    /** Tells whether a failure may mean that the upstream ended, and was not about to leave. */
+    /** Returns whether a failure may mean that the upstream crashed rather than stopped as planned. */
     boolean mayHaveCrashed(UpstreamEntry upstream, FailureKind kind) {
         return POSSIBLE_CRASH.contains(kind)
                 && !plannedStops.contains(upstream.id())
                 && (context.upstreams().hasRestarted(upstream.id()) || isListedAndServing(upstream.id()));
     }
 
-    /** Notes that a start of an upstream ended after it had been about to leave. */
+    /** Records that an incarnation of an upstream exited after draining. */
     void stoppedAsPlanned(UpstreamId incarnation) {
         plannedStops.add(incarnation);
         if (plannedStops.size() > MAX_PLANNED_STOPS) {
@@ -61,13 +62,13 @@
         }
     }
 
-    /** Tells whether a start of an upstream is listed and not about to leave. */
+    /** Returns whether an incarnation of an upstream is listed and not draining. */
     boolean isListedAndServing(UpstreamId incarnation) {
         return context.upstreams().find(incarnation) != null
                 && !context.upstreams().isDraining(incarnation);
     }
 
-    /** Tells whether an upstream at which a request just broke off has ended; it may take some milliseconds. */
+    /** Returns whether an upstream crashed at which a request was just interrupted; may take some milliseconds. */
     Mono<Boolean> hasCrashed(UpstreamEntry upstream) {
         if (context.upstreams().hasRestarted(upstream.id())) {
             return Mono.just(true);
@@ -80,7 +81,7 @@
                 .crashed();
     }
 
-    /** Asks an upstream whether it takes connections; tells whether it has ended. */
+    /** Returns whether the upstream's host refuses a connection, so that the process no longer runs. */
     Mono<Boolean> isConnectionRefused(UpstreamEntry upstream) {
         return context.connections().isConnectionRefused(upstream.address());
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 import org.apricotstack.serving.observe.DecisionLog;
 
-/** Notes which upstreams announce in their answers that they leave, and lets the other routers know. */
+/** Tracks the drains that upstreams announce in their answers, and reports them to the other routers. */
 final class DrainGate {
 
     private final ServingContext context;
@@ -18,21 +18,24 @@
         this.context = context;
     }
 
-    /** Returns what is known. */
+    /** Returns the announced drains. */
     private DrainTable table() {
         return context.upstreams().drains();
     }
 
-    /** Takes in what an answer says; the request is {@code null} if it is no caller's. */
-    void answered(UpstreamId upstream, AdvertisedDrain stated, long sentMillis, String requestId) {
-        if (stated == AdvertisedDrain.UNREADABLE) {
+    /**
+     * Processes the drain state that an answer advertises; the request id is {@code null} if no caller's request was
+     * answered.
+     */
+    void answered(UpstreamId upstream, AdvertisedDrain advertised, long sentMillis, String requestId) {
+        if (advertised == AdvertisedDrain.UNREADABLE) {
             context.metrics().drainUnreadable();
         }
-        if (stated != AdvertisedDrain.DRAINING && table().isEmpty()) {
+        if (advertised != AdvertisedDrain.DRAINING && table().isEmpty()) {
             return;
         }
         AnnouncedDrain before = table().find(upstream);
-        DrainChange change = table().answerReceived(upstream, stated, sentMillis, context.nowMillis());
+        DrainChange change = table().answerReceived(upstream, advertised, sentMillis, context.nowMillis());
         if (change == DrainChange.BEGAN) {
             context.metrics().drainAnnounced();
             line("drain_announced", upstream, requestId).put("source", "answer").write();
@@ -43,8 +46,8 @@
         }
     }
 
-    /** Takes in that the platform lists an upstream as taking requests that it listed as leaving before. */
-    void servingAgain(UpstreamId upstream) {
+    /** Ends the drain of an upstream that the platform lists as serving again after it listed it as draining. */
+    void listedAsServing(UpstreamId upstream) {
         AnnouncedDrain before = table().find(upstream);
         if (table().ended(upstream, context.nowMillis()) == DrainChange.ENDED) {
             ended(upstream, before, "platform", null);
@@ -52,13 +55,16 @@
         }
     }
 
-    /** Ends drains that the platform has contradicted for long, and forgets those of upstreams that are gone. */
+    /**
+     * Ends drains that the platform has contradicted for the time set in {@link DrainTable}, and removes those of
+     * upstreams that are no longer listed.
+     */
     void expire(boolean platformAnswers) {
         table().expire(upstream -> listing(upstream, platformAnswers), context.nowMillis())
                 .forEach((upstream, drain) -> ended(upstream, drain, "contradicted", null));
     }
 
-    /** Returns what the platform says of an upstream. */
+    /** Returns how the platform lists an upstream. */
     private DrainTable.Listing listing(UpstreamId upstream, boolean platformAnswers) {
         UpstreamEntry entry = context.upstreams().find(upstream);
         if (!platformAnswers || entry != null && entry.draining()) {
@@ -67,7 +73,7 @@
         return entry == null ? DrainTable.Listing.ABSENT : DrainTable.Listing.SERVING;
     }
 
-    /** Writes down that an upstream takes requests again. */
+    /** Logs that an upstream serves requests again. */
     private void ended(UpstreamId upstream, AnnouncedDrain before, String source, String requestId) {
         line("drain_ended", upstream, requestId)
                 .put("source", source)
@@ -75,7 +81,7 @@
                 .write();
     }
 
-    /** Begins a line, on a request if one is known. */
+    /** Starts a log line, with the request id if there is one. */
     private DecisionLog.Line line(String event, UpstreamId upstream, String requestId) {
         DecisionLog.Line line =
                 requestId == null ? context.log().line(event) : context.log().request(event, requestId);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EngineCalls.java
@@ -7,15 +7,15 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 import reactor.core.publisher.Mono;
 
-/** What engines offer beside running prompts; each call ends by itself within a fraction of a second. */
+/** Control operations of engines; each call times out within a fraction of a second. */
 public interface EngineCalls {
 
     /**
-     * What an engine says of itself.
+     * Status that an engine reports.
      *
-     * @param slowdown how slow it is: 1 for the published figures, more for a slow engine
-     * @param queued requests that wait there for a slot or for memory
-     * @param incarnation which of its starts answered, see {@link UpstreamId}
+     * @param slowdown 1 for an engine as fast as its published figures, more for a slower one
+     * @param queued requests that wait in the engine for a slot or for memory
+     * @param incarnation the incarnation that answered, see {@link UpstreamId}
      */
     record Report(double slowdown, int queued, long incarnation) {}
 
@@ -23,31 +23,31 @@
      * Reserves memory, or renews a reservation.
      *
      * @param engine the engine
-     * @param reservation names the reservation
-     * @param tokens how much
-     * @param holdMillis time after which the engine frees it by itself, in milliseconds
-     * @param onNotice takes what the answer says of the engine, as soon as its head has come
-     * @return whether it was reserved; an error if nobody knows
+     * @param reservation name of the reservation
+     * @param tokens size of the reservation, in tokens
+     * @param holdMillis time after which the engine frees the memory without a renewal, in milliseconds
+     * @param onNotice called with the engine's notice as soon as the head of the response arrives
+     * @return whether the memory was reserved; an error if the outcome is unknown
      */
     Mono<Boolean> reserve(
             UpstreamEntry engine, String reservation, long tokens, long holdMillis, Consumer<UpstreamNotice> onNotice);
 
     /**
-     * Ends a reservation.
+     * Releases a reservation.
      *
      * @param engine the engine
-     * @param reservation names the reservation
-     * @param onNotice takes what the answer says of the engine, as soon as its head has come
-     * @return whether the engine took it; an error if nobody knows
+     * @param reservation name of the reservation
+     * @param onNotice called with the engine's notice as soon as the head of the response arrives
+     * @return whether the engine accepted the release; an error if the outcome is unknown
      */
     Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice);
 
     /**
-     * Asks an engine for its state. It is priced, so it is asked only when its silence has to be explained.
+     * Requests the status of an engine. Users pay for these calls, so they are made only to explain a silence.
      *
      * @param engine the engine
-     * @param onNotice takes what the answer says of the engine, as soon as its head has come
-     * @return the state; an error if it does not answer
+     * @param onNotice called with the engine's notice as soon as the head of the response arrives
+     * @return the status; an error if the engine does not answer
      */
     Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EventSplitter.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/EventSplitter.java
@@ -7,10 +7,10 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts a body into whole events.
+ * Splits a response body into complete server-sent events.
  *
- * <p>An upstream can stop in the middle of an event. Passing the half on would join it to the first event of the
- * upstream at which the stream goes on, so only whole events leave.
+ * <p>An upstream can fail in the middle of an event. If the partial event were forwarded, it would be joined to the
+ * first event from the upstream that resumes the stream, so only complete events are forwarded.
  */
 final class EventSplitter {
 
@@ -23,12 +23,12 @@
     /**
      * One event.
      *
-     * @param bytes the event with the empty line that ends it; the receiver owns it
-     * @param id its number, or a negative number if it has none
+     * @param bytes the event, including the empty line that ends it; the receiver releases it
+     * @param id sequence number of the event; negative if it has none
      */
     record Event(ByteBuf bytes, long id) {}
 
-    /** Takes bytes and hands whole events on. */
+    /** Adds bytes and passes each complete event to the consumer. */
     void feed(ByteBuf data, Consumer<Event> events) {
         held.writeBytes(data);
         int begin = held.readerIndex();
@@ -47,12 +47,12 @@
         held.discardReadBytes();
     }
 
-    /** Tells whether a part of an event is held. */
+    /** Returns whether the buffer holds a partial event. */
     boolean hasPartialEvent() {
         return held.isReadable();
     }
 
-    /** Reads the number of an event. */
+    /** Parses the sequence number of an event. */
     private static long idOf(ByteBuf event) {
         for (String line : event.toString(StandardCharsets.UTF_8).split("\r?\n")) {
             if (line.startsWith(ID_FIELD)) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
@@ -11,7 +11,7 @@
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.serving.observe.DecisionLog;
 
-/** Keeps what reaches upstreams within the rate limits that they name in their answers. */
+/** Keeps the requests to upstreams within the rate limits that their answers advertise. */
 final class LimitGate {
 
     private final ServingContext context;
@@ -26,21 +26,21 @@
     }
 
     /**
-     * Takes in what an answer says.
+     * Processes the rate limit that an answer advertises.
      *
      * @param upstream the upstream that answered
-     * @param stated what the answer says
-     * @param sentMillis when the request was sent, or before
-     * @param requestId the request, or {@code null} if it is no caller's
+     * @param advertised the advertised limit
+     * @param sentMillis when the request was sent, or an earlier time
+     * @param requestId id of the request, or {@code null} if no caller's request was answered
      */
-    void answered(UpstreamId upstream, AdvertisedLimit stated, long sentMillis, String requestId) {
-        if (stated.kind() == AdvertisedLimit.Kind.ABSENT && !admission.isLimited(upstream)) {
+    void answered(UpstreamId upstream, AdvertisedLimit advertised, long sentMillis, String requestId) {
+        if (advertised.kind() == AdvertisedLimit.Kind.ABSENT && !admission.isLimited(upstream)) {
             return;
         }
         long now = context.nowMillis();
         RateLimit before = context.limits().find(upstream);
-        LimitChange change = context.limits().answerReceived(upstream, stated, sentMillis, now);
-        if (stated.kind() == AdvertisedLimit.Kind.UNREADABLE) {
+        LimitChange change = context.limits().answerReceived(upstream, advertised, sentMillis, now);
+        if (advertised.kind() == AdvertisedLimit.Kind.UNREADABLE) {
             noteUnreadable(upstream, requestId);
         } else {
             unreadable.remove(upstream);
@@ -63,12 +63,12 @@
         context.limitGossip().limitChanged(upstream, change, limit);
     }
 
-    /** Begins a line, on a request if one is known. */
+    /** Starts a log line, with the request id if there is one. */
     private DecisionLog.Line line(String event, String requestId) {
         return requestId == null ? context.log().line(event) : context.log().request(event, requestId);
     }
 
-    /** Counts a value that is no limit, and writes the first one of an upstream down. */
+    /** Counts a malformed limit, and logs the first one of each upstream. */
     private void noteUnreadable(UpstreamId upstream, String requestId) {
         context.metrics().limitUnreadable();
         if (unreadable.add(upstream)) {
@@ -78,48 +78,54 @@
         }
     }
 
-    /** Tells whether requests to an upstream need a permit. */
+    /** Returns whether requests to an upstream need a permit. */
     boolean isLimited(UpstreamId upstream) {
         return admission.isLimited(upstream);
     }
 
-    /** Tells whether no upstream is limited. */
+    /** Returns whether no upstream has a limit. */
     boolean isIdle() {
         return context.limits().isEmpty();
     }
 
-    /** Returns the time until a request to an upstream may pass, in milliseconds; 0 if it may pass or be asked for. */
+    /**
+     * Returns the time until a request may be sent to an upstream, in milliseconds; 0 if it may be sent or a permit may
+     * be requested.
+     */
     long blockedMillis(UpstreamId upstream) {
         return admission.opensMillis(upstream);
     }
 
-    /** Lets one request to an upstream pass, or not. */
+    /** Acquires a permit for one request to an upstream; the consumer receives whether it was granted. */
     void acquire(UpstreamId upstream, Consumer<Boolean> then) {
         admission.acquire(upstream, then);
     }
 
-    /** Notes that requests begin, or with a negative number end, to wait until a limit lets them pass. */
+    /** Adjusts the number of requests that wait for a limit; negative when they stop waiting. */
     void addWaiting(int requests) {
         waiting += requests;
     }
 
-    /** Returns how many requests wait until a limit lets them pass. */
+    /** Returns how many requests wait for a limit. */
     int waiting() {
         return waiting;
     }
 
-    /** Counts a request that is sent without a permit, as it cannot be left out. */
+    /** Charges a request that is sent without a permit because it cannot be skipped. */
     void charge(UpstreamId upstream) {
         admission.charge(upstream);
     }
 
-    /** Forgets a start of an upstream that is over. */
+    /** Removes the state of an incarnation that no longer runs. */
     void forget(UpstreamId upstream) {
         unreadable.remove(upstream);
         context.limits().forget(upstream);
     }
 
-    /** Forgets what concerns upstreams that are not limited any more, or gone, and shows the limits that hold. */
+    /**
+     * Removes the state of upstreams that are no longer limited or listed, and updates the metrics of the limits in
+     * force.
+     */
     void expire() {
         context.limits().expire(id -> context.upstreams().isListed(id), context.nowMillis());
         context.metrics().limits(context.limits().all());
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGossip.java
@@ -5,23 +5,23 @@
 import org.apricotstack.core.ratelimit.PermitClient;
 import org.apricotstack.core.ratelimit.RateLimit;
 
-/** Tells the other routers of the rate limits that upstreams name, and asks those that keep the limits. */
+/** Reports advertised rate limits to the other routers, and requests permits from the permit issuers. */
 public interface LimitGossip extends PermitClient {
 
     /**
-     * Tells what an answer changed.
+     * Reports a change of a limit.
      *
      * @param upstream the upstream that answered
-     * @param change what changed
-     * @param limit the limit that holds now; of an end the time at which the request was sent that showed it
+     * @param change how the limit changed
+     * @param limit the limit in force; if it ended, its time is when the request was sent whose answer showed the end
      */
     void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit);
 
     /**
-     * Returns the router that keeps the limit of an upstream, as this one sees it.
+     * Returns the permit issuer of an upstream, according to this router's membership view.
      *
      * @param upstream the upstream
-     * @return the host's name, or {@code null} if there is none
+     * @return the host name, or {@code null} if there is none
      */
     String permitIssuerOf(UpstreamId upstream);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementGossip.java
@@ -3,40 +3,40 @@
 import org.apricotstack.core.engine.EnginePlacement;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Tells the other routers what this one decided and saw. */
+/** Reports this router's placements and observations of upstreams to the other routers. */
 public interface PlacementGossip {
 
     /**
-     * Tells of a placement.
+     * Reports a new placement.
      *
      * @param placement the placement
-     * @param limitMillis longest time that it may take, in milliseconds
+     * @param limitMillis longest time that the request may take, in milliseconds
      */
     void placed(EnginePlacement placement, long limitMillis);
 
     /**
-     * Tells that a prompt was read.
+     * Reports that the prefill of a placement has ended and decoding has started.
      *
      * @param placement the placement
      */
     void decodeStarted(EnginePlacement placement);
 
     /**
-     * Tells that a placement is over.
+     * Reports the end of a placement.
      *
      * @param placement the placement
      */
     void ended(EnginePlacement placement);
 
     /**
-     * Tells whether the other routers have told this one what they placed.
+     * Returns whether the other routers have reported their placements to this one.
      *
-     * @return {@code false} for a while after the start
+     * @return {@code false} for some time after the start
      */
     boolean hasPeerPlacements();
 
     /**
-     * Tells that an upstream failed.
+     * Reports that an upstream failed and is avoided.
      *
      * @param upstream the upstream
      * @param avoidMillis time for which it is avoided, in milliseconds
@@ -44,7 +44,7 @@
     void avoided(UpstreamId upstream, long avoidMillis);
 
     /**
-     * Tells that an answer showed that an upstream leaves, or no longer does.
+     * Reports that an answer announced the drain of an upstream or its end.
      *
      * @param upstream the upstream
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestDispatcher.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestDispatcher.java
@@ -23,19 +23,22 @@
 import org.apricotstack.serving.http.DiscardingRequestListener;
 import org.apricotstack.serving.observe.RefusalCause;
 
-/** Checks requests against the configuration, and begins their runs. */
+/** Checks requests against the configuration and starts their runs. */
 public final class RequestDispatcher implements CallerHandler {
 
-    /** Time after which a caller finds a configuration here, in milliseconds: two reads from the platform. */
+    /**
+     * Retry-after for callers while no configuration is loaded, in milliseconds: the time of two reads from the
+     * platform.
+     */
     private static final long CONFIGURATION_MILLIS = 300;
 
-    /** Time after which a caller has learned of another router, in milliseconds. */
+    /** Retry-after for callers of a stopping router, in milliseconds: the time until a caller knows another router. */
     private static final long OTHER_ROUTER_MILLIS = 100;
 
-    /** Ends the text of an answer to a request that no upstream has run or will run. */
+    /** End of the response text for a request that no upstream has run or will run. */
     private static final String NOT_RUN = " not_run";
 
-    /** Ends the text of an answer to a request that may have run. */
+    /** End of the response text for a request that may have run. */
     private static final String MAY_HAVE_RUN = " may_have_run";
 
     private final ServingContext context;
@@ -46,9 +49,9 @@
     private boolean stopping;
 
     /**
-     * Creates the runs.
+     * Creates a dispatcher.
      *
-     * @param context what they share
+     * @param context what the runs share
      */
     public RequestDispatcher(ServingContext context) {
         this.context = context;
@@ -80,7 +83,7 @@
         return run;
     }
 
-    /** Answers a request that is not begun. */
+    /** Refuses a request before a run is started. */
     private CallerRequestListener refuse(
             CallerRequest request, CallerExchange exchange, RefusalCause cause, long retryMillis) {
         context.metrics().refused(cause);
@@ -95,7 +98,7 @@
         return DiscardingRequestListener.INSTANCE;
     }
 
-    /** Returns the status that tells a caller why there is no answer. */
+    /** Returns the HTTP status for a refusal. */
     static HttpResponseStatus status(RefusalCause cause, boolean mayHaveRun) {
         return switch (cause) {
             case NO_ROUTE -> HttpResponseStatus.NOT_FOUND;
@@ -106,7 +109,7 @@
         };
     }
 
-    /** Gives an answer of the router's own. */
+    /** Sends a response that the router itself generates. */
     static void answer(CallerExchange exchange, RefusalCause cause, boolean mayHaveRun, long retryMillis) {
         HttpResponseStatus status = status(cause, mayHaveRun);
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
@@ -117,7 +120,7 @@
         exchange.answer(status, headers, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    /** Writes milliseconds as seconds with three decimals. */
+    /** Formats milliseconds as seconds with three decimals. */
     private static String seconds(long millis) {
         long whole = millis / 1_000;
         String decimals = Long.toString(1_000 + millis % 1_000).substring(1);
@@ -125,9 +128,10 @@
     }
 
     /**
-     * Lets the requests that run in a start of an upstream go on elsewhere, as that start is over.
+     * Fails the attempts at an incarnation of an upstream that no longer runs, so that their requests are retried
+     * elsewhere.
      *
-     * @param ended the start that ended by a new one, as it was last listed
+     * @param ended the replaced incarnation, as it was last listed
      */
     public void upstreamRestarted(UpstreamEntry ended) {
         if (ended.draining() || context.upstreams().isDraining(ended.id())) {
@@ -138,7 +142,7 @@
     }
 
     /**
-     * Takes in that another router told of an upstream that ended under a request.
+     * Processes another router's report that an upstream crashed with a request in flight.
      *
      * @param request the request
      */
@@ -146,38 +150,38 @@
         gate.suspicionChanged(request);
     }
 
-    /** Looks again at all attempts of a request of which more is known. */
+    /** Re-evaluates all attempts of a request after its suspicion changed. */
     private void recheckSuspicion(RequestDigest request) {
         List.copyOf(running).forEach(run -> run.recheckSuspicion(request));
     }
 
     /**
-     * Takes in that the platform lists an upstream as taking requests that it listed as leaving before.
+     * Processes that the platform lists an upstream as serving again after it listed it as draining.
      *
-     * @param upstream the start
+     * @param upstream the incarnation
      */
     public void drainEnded(UpstreamId upstream) {
-        gates.drains().servingAgain(upstream);
+        gates.drains().listedAsServing(upstream);
     }
 
     /**
-     * Forgets what upstreams said of themselves and holds no more.
+     * Removes expired limits, drains and back-offs.
      *
-     * @param platformAnswers whether the platform's list of upstreams can be relied upon
+     * @param platformAnswers whether the platform's list of upstreams is up to date
      */
     public void expire(boolean platformAnswers) {
         gates.expire(platformAnswers);
     }
 
-    /** Refuses requests from now on, as the process is about to stop. */
+    /** Refuses new requests from now on because the process stops. */
     public void refuseNew() {
         stopping = true;
     }
 
     /**
-     * Returns how many requests are being served.
+     * Returns the number of requests in flight.
      *
-     * @return requests
+     * @return number of requests
      */
     public int open() {
         return running.size();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestFacts.java
@@ -16,16 +16,16 @@
 import org.apricotstack.serving.http.ForwardingParameters;
 
 /**
- * What does not change while a request is served.
+ * Data of a request that stays constant while it is served.
  *
  * @param request the caller's request
  * @param route its route
- * @param account its client account, or {@code null} if it needs none
+ * @param account its client account, or {@code null} if none is required
  * @param service the service that runs it
- * @param profile what is configured of the service, or {@code null} if nothing is
- * @param configurationVersion version of the configuration that decided
- * @param arrivedMillis when its line and headers had come
- * @param endMillis when its time is over
+ * @param profile configured profile of the service, or {@code null} if there is none
+ * @param configurationVersion version of the configuration that was in force on arrival
+ * @param arrivedMillis when its request line and headers were received
+ * @param endMillis its deadline
  */
 record RequestFacts(
         CallerRequest request,
@@ -37,10 +37,10 @@
         long arrivedMillis,
         long endMillis) {
 
-    /** Least urgent rank that upstreams know. */
+    /** Least urgent priority that upstreams support. */
     private static final int LAST_PRIORITY = 9;
 
-    /** Gathers the facts of a request that just arrived. */
+    /** Collects the facts of a request that just arrived. */
     static RequestFacts of(
             CallerRequest request,
             ServingConfiguration configuration,
@@ -59,17 +59,17 @@
                 nowMillis + Math.min(request.timeoutMillis(), route.timeoutMillis()));
     }
 
-    /** Tells whether model engines run it. */
+    /** Returns whether engines run the request. */
     boolean runsOnEngines() {
         return profile != null && profile.engine().isPresent();
     }
 
-    /** Returns the time that is left. */
+    /** Returns the time until the deadline, in milliseconds. */
     long remainingMillis(long nowMillis) {
         return endMillis - nowMillis;
     }
 
-    /** Tells whether it may still wait for room. */
+    /** Returns whether the request may wait longer for free capacity. */
     boolean mayWait(double predictedMillis, long nowMillis) {
         return PromptAdmission.mayWait(
                 predictedMillis,
@@ -78,13 +78,16 @@
                 remainingMillis(nowMillis));
     }
 
-    /** Tells whether it may wait for another attempt of the same request: half of its time is left for its own. */
+    /**
+     * Returns whether the request may wait for the trial of an identical request; half of its time is reserved for its
+     * own attempt.
+     */
     boolean mayWaitForTrial(long nowMillis) {
         boolean halfLeft = remainingMillis(nowMillis) > (endMillis - arrivedMillis) / 2;
         return halfLeft && (!runsOnEngines() || mayWait(0, nowMillis));
     }
 
-    /** Returns what its placement on engines depends on. */
+    /** Returns the input of the engine placer. */
     PromptRequest prompt(long nowMillis, boolean answerStarted) {
         EngineProfile engine = profile.engine().orElseThrow();
         long waited = nowMillis - arrivedMillis;
@@ -99,7 +102,9 @@
                 answerStarted ? 0 : waited);
     }
 
-    /** Returns the silence after which another upstream is tried, in milliseconds; 0 if none may be. */
+    /**
+     * Returns the silence after which another upstream is tried, in milliseconds; 0 if the request may not be retried.
+     */
     long silenceMillis(UpstreamChoice choice, long nowMillis) {
         if (!route.idempotent()) {
             return 0;
@@ -109,7 +114,7 @@
                 : TimeoutPolicy.answerLimitMillis(route, remainingMillis(nowMillis));
     }
 
-    /** Returns what the upstream is told beside the caller's words. */
+    /** Returns the parameters that are sent to the upstream in addition to the caller's request. */
     ForwardingParameters forwarding(
             UpstreamChoice choice, ReservedHelpers helpers, String lastEventId, long nowMillis) {
         return new ForwardingParameters(
@@ -126,24 +131,24 @@
         return account == null ? null : account.id();
     }
 
-    /** Returns the hash that tells the request apart from those with another head or another length of the body. */
+    /** Returns a hash of the request's method, host, target, account and body length. */
     long headDigest(int bodyBytes) {
         return RequestDigest.hashHead(
                 head().method().name(), request.host(), request.target(), clientAccountId(), bodyBytes);
     }
 
-    /** Returns the rank of the request; an account's goes before its route's. */
+    /** Returns the priority of the request; that of the account overrides that of the route. */
     private int priority() {
         int rank = account != null && account.priority() >= 0 ? account.priority() : route.priority();
         return Math.max(0, Math.min(LAST_PRIORITY, rank));
     }
 
-    /** Returns the caller's id of the request, or {@code null} if it has none. */
+    /** Returns the caller's request id, or {@code null} if there is none. */
     String echoedId() {
         return request.id().isEmpty() ? null : request.id();
     }
 
-    /** Returns line and headers as sent by the caller. */
+    /** Returns request line and headers as received from the caller. */
     HttpRequest head() {
         return request.head();
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestLog.java
@@ -12,7 +12,7 @@
 import org.apricotstack.serving.observe.PassedOverCause;
 import org.apricotstack.serving.observe.RefusalCause;
 
-/** Writes down and counts what happens to one request, with the figures that decided. */
+/** Logs and counts the events of one request, with the figures that its decisions were based on. */
 final class RequestLog {
 
     private final ServingContext context;
@@ -28,12 +28,12 @@
         this.progress = progress;
     }
 
-    /** Begins a line. */
+    /** Starts a log line. */
     private DecisionLog.Line line(String event) {
         return context.log().request(event, facts.request().id());
     }
 
-    /** Notes the arrival. */
+    /** Logs the arrival. */
     void arrived() {
         line("arrived")
                 .put("route", facts.route().name())
@@ -49,7 +49,7 @@
                 .write();
     }
 
-    /** Notes that the request waits, as placing it now would cost others more than it is worth. */
+    /** Logs that the request waits for capacity or for a rate limit. */
     void waiting(long nowMillis) {
         line("waits")
                 .put("left_millis", facts.remainingMillis(nowMillis))
@@ -57,7 +57,7 @@
                 .write();
     }
 
-    /** Notes that the request waits, as the same request is suspected and tried elsewhere. */
+    /** Logs that the request waits because an identical, suspected request is in trial elsewhere. */
     void waitingForTrial(RequestDigest digest, long nowMillis) {
         line("held")
                 .put("content", digest.toString())
@@ -65,7 +65,7 @@
                 .write();
     }
 
-    /** Notes a send, and which upstreams were passed over for it. */
+    /** Logs an attempt and the upstreams that were skipped for it. */
     void sent(UpstreamChoice choice, SkippedUpstreams skipped, long nowMillis) {
         count(PassedOverCause.LIMIT, skipped.rateLimited());
         count(PassedOverCause.DRAINING, skipped.draining());
@@ -89,14 +89,14 @@
                 .write();
     }
 
-    /** Counts a send for which upstreams were passed over. */
+    /** Counts an attempt for which upstreams were skipped. */
     private void count(PassedOverCause cause, List<UpstreamEntry> upstreams) {
         if (!upstreams.isEmpty()) {
             context.metrics().passedOver(cause);
         }
     }
 
-    /** Notes that a choice is dropped before it was sent. */
+    /** Logs that a choice was dropped before the request was sent. */
     void passedOver(Attempt attempt, PassedOverCause cause, long blockedMillis) {
         UpstreamId upstream = attempt.upstream().id();
         RateLimit limit = context.limits().find(upstream);
@@ -117,7 +117,7 @@
                 : upstreams.stream().map(entry -> entry.id().value()).collect(Collectors.joining(","));
     }
 
-    /** Notes a failed attempt; a cause says why no other follows. */
+    /** Logs a failed attempt; the cause says why it is not retried and is {@code null} if it is. */
     void failed(Attempt attempt, FailureKind kind, RefusalCause cause, long nowMillis) {
         context.metrics().attemptFailed(kind);
         if (cause == null) {
@@ -133,7 +133,7 @@
                 .write();
     }
 
-    /** Notes whether the upstream ended at which an attempt broke off, and what tells the request apart. */
+    /** Logs whether the upstream of an interrupted attempt crashed, with the digest of the request. */
     void attemptInterrupted(Attempt attempt, RequestDigest digest, boolean upstreamEnded) {
         line("broke_off")
                 .put("content", digest.toString())
@@ -144,7 +144,7 @@
                 .write();
     }
 
-    /** Notes the first event of an attempt. */
+    /** Logs the first event of an attempt. */
     void firstEvent(Attempt attempt, boolean firstOfAll, long nowMillis) {
         long seen = nowMillis - attempt.startMillis();
         if (firstOfAll) {
@@ -158,7 +158,7 @@
                 .write();
     }
 
-    /** Notes an answer of an upstream. */
+    /** Logs the response of an upstream. */
     void answered(String event, Attempt attempt, int status, long nowMillis) {
         context.metrics().served(facts.route().kind());
         context.metrics().longestTokenGap(progress.longestTokenGapMillis());
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Notes the end without an answer of an upstream; status 0 means that a begun answer is broken off. The digest of a
-     * request that is refused as suspected tells it apart.
+     * Logs a request that ends without a response of an upstream. Status 0 means that a started response is aborted;
+     * the digest identifies a request that is refused as suspected.
      */
     void refused(RefusalCause cause, int status, long retryMillis, RequestDigest digest, long nowMillis) {
         context.metrics().refused(cause);
@@ -189,7 +189,7 @@
                 .write();
     }
 
-    /** Notes that the caller left. */
+    /** Logs that the caller disconnected. */
     void callerLeft(long nowMillis) {
         line("caller_left")
                 .put("took_millis", nowMillis - facts.arrivedMillis())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
@@ -15,11 +15,11 @@
 import org.apricotstack.serving.observe.RefusalCause;
 
 /**
- * The life of one request, from its body to its final answer.
+ * Runs one request, from the arrival of its body to the final response.
  *
- * <p>It is sent to one upstream after the other, as often as its route allows. A request that must not run twice is
- * sent again only if it is certain that it has not run. A stream that breaks goes on at another upstream after the last
- * whole event, inside the same answer.
+ * <p>It is sent to one upstream after the other, as often as its route allows. A non-idempotent request is retried only
+ * if it is certain that it has not run. A broken stream is resumed at another upstream after the last complete event,
+ * within the same response to the caller.
  */
 final class RequestRun implements CallerRequestListener {
 
@@ -40,7 +40,7 @@
     private int bodyBytes;
     private boolean finished;
 
-    /** Begins a run; it waits for the body. */
+    /** Creates a run that waits for the body. */
     RequestRun(
             ServingContext context,
             UpstreamChooser chooser,
@@ -65,17 +65,17 @@
         log.arrived();
     }
 
-    /** Returns what requests share. */
+    /** Returns the shared context. */
     ServingContext context() {
         return context;
     }
 
-    /** Tells whether it has ended. */
+    /** Returns whether the run has ended. */
     boolean finished() {
         return finished;
     }
 
-    /** Returns what finds out why an engine is silent. */
+    /** Returns the check that explains why an engine is silent. */
     SilenceCheck silenceCheck() {
         return chooser.silenceCheck();
     }
@@ -98,22 +98,22 @@
         sender.send();
     }
 
-    /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
+    /** Returns whether a stream that waits for a busy engine would get its next event sooner at another one. */
     boolean wouldBeFasterElsewhere(Attempt attempt) {
         return sender.wouldBeFasterElsewhere(attempt);
     }
 
-    /** Tells whether another send may follow a failure of the current one. */
+    /** Returns whether the current attempt may be retried after a failure. */
     boolean mayRetry(FailureKind kind) {
         return attempts.retryRefusal(kind, false, facts.remainingMillis(context.nowMillis())) == null;
     }
 
-    /** Tells whether an attempt may still be given to the upstreams that were chosen for it. */
+    /** Returns whether an attempt may still be sent to the upstreams chosen for it. */
     boolean mayBeSent(Attempt attempt) {
-        return gates.whyNotSent(attempt.choice()) == null;
+        return gates.unavailableCause(attempt.choice()) == null;
     }
 
-    /** Takes the failure of an attempt: sends again or ends. */
+    /** Processes the failure of an attempt: retries or refuses the request. */
     void attemptFailed(Attempt attempt, FailureKind kind) {
         if (finished || attempt != sender.current()) {
             return;
@@ -130,8 +130,8 @@
         chooser.failed(responsible, kind);
         if (gate.mayHaveCrashed(attempt.upstream(), kind)) {
             RequestDigest digest = suspectTracker.digest();
-            gate.attemptInterrupted(attempt.upstream(), digest, attempt.answerStarted(), ended -> {
-                log.attemptInterrupted(attempt, digest, ended);
+            gate.attemptInterrupted(attempt.upstream(), digest, attempt.answerStarted(), crashed -> {
+                log.attemptInterrupted(attempt, digest, crashed);
                 retryOrRefuse(attempt, kind, isUncounted);
             });
         } else {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Sends again after a failure, or ends. */
+    /** Retries the request after a failure, or refuses it. */
     private void retryOrRefuse(Attempt attempt, FailureKind kind, boolean isUncounted) {
         if (finished) {
             return;
@@ -160,22 +160,23 @@
     }
 
     /**
-     * Ends the attempt that runs in a start of an upstream that is over. Its connection may be silent, and only the
-     * time limit would end it. A request that must not run twice is left to the end of its connection.
+     * Fails the attempt at an incarnation of an upstream that no longer runs. Its connection may be silent, so that it
+     * would otherwise end only by the time limit. A non-idempotent request waits until its connection is closed.
      */
-    void upstreamRestarted(UpstreamId start) {
+    void upstreamRestarted(UpstreamId incarnation) {
         Attempt attempt = sender.current();
         if (attempt != null
                 && facts.route().idempotent()
-                && attempt.upstream().id().equals(start)) {
+                && attempt.upstream().id().equals(incarnation)) {
             attempt.upstreamRestarted();
         }
     }
 
     /**
-     * Takes in that more is known of a request under which upstreams ended. If it is this one, it is taken back from an
-     * upstream that has not begun to answer: to be refused, or to be sent again once no other router tries the same.
-     * One that cannot be sent again goes on, and the others wait for it.
+     * Re-evaluates the current attempt after more became known about a request that was in flight when upstreams
+     * crashed. If this run has that request and the upstream has not started to respond, the attempt is withdrawn: the
+     * request is refused, or retried once no other router has it in trial. A request that may not be retried continues,
+     * and identical ones wait for it.
      */
     void recheckSuspicion(RequestDigest request) {
         Attempt attempt = sender.current();
@@ -183,7 +184,7 @@
             return;
         }
         if (suspectTracker.isRefused()) {
-            attempts.timedOutInFlight();
+            attempts.endedInFlight();
             endWithRefusal(RefusalCause.ENDS_UPSTREAMS);
         } else if (suspectTracker.isSentBeforeSuspected()
                 && facts.route().idempotent()
@@ -195,17 +196,20 @@
         }
     }
 
-    /** Takes the beginning of an answer, whatever follows. */
+    /** Processes the head of a response, whatever follows. */
     void answerHeadReceived(Attempt attempt, ResponseHead answer) {
         applyNotice(attempt, answer, attempt.startMillis());
     }
 
-    /** Takes the beginning of an answer to an earlier request; it may begin what it says, but end nothing. */
+    /**
+     * Processes the head of a late response to an earlier request; its notice may start a limit, drain or back-off, but
+     * not end one.
+     */
     void lateAnswerReceived(Attempt attempt, ResponseHead answer) {
         applyNotice(attempt, answer, Long.MIN_VALUE);
     }
 
-    /** Takes in what an upstream says of itself; what another one at its address says concerns the other one. */
+    /** Applies the notice of an upstream, unless another instance at its address sent it. */
     private void applyNotice(Attempt attempt, ResponseHead answer, long sentMillis) {
         if (!answer.wrongInstance()) {
             gates.answered(
@@ -216,7 +220,7 @@
         }
     }
 
-    /** Takes a whole answer, or an upstream's failure that is passed on as it is. */
+    /** Processes a complete response, or an upstream's error that is forwarded unchanged. */
     void answered(Attempt attempt, boolean success, HttpResponse raw, ByteBuf answer) {
         if (finished) {
             answer.release();
@@ -237,7 +241,7 @@
         finish("answered", attempt, raw.status().code());
     }
 
-    /** Takes an event of a stream and passes it on unless it is there already. */
+    /** Processes an event of a stream and forwards it unless it is a duplicate. */
     void event(Attempt attempt, HttpResponse raw, EventSplitter.Event event) {
         if (finished || !progress.isNext(event.id())) {
             event.bytes().release();
@@ -263,7 +267,7 @@
         }
     }
 
-    /** Takes the whole end of a stream. */
+    /** Processes the complete end of a stream. */
     void streamCompleted(Attempt attempt, HttpResponse raw) {
         if (finished) {
             return;
@@ -276,7 +280,7 @@
         finish("streamed", attempt, raw.status().code());
     }
 
-    /** Ends the run with an answer of an upstream. */
+    /** Ends the run with the response of an upstream. */
     private void finish(String event, Attempt attempt, int status) {
         log.answered(event, attempt, status, context.nowMillis());
         suspectTracker.served();
@@ -284,22 +288,25 @@
         close();
     }
 
-    /** Ends the time of the request. */
+    /** Ends the run because its time limit has passed. */
     private void timedOut() {
         if (!finished) {
             if (sender.current() != null) {
-                attempts.timedOutInFlight();
+                attempts.endedInFlight();
             }
             endWithRefusal(RefusalCause.TIME_LIMIT);
         }
     }
 
-    /** Ends the run without an answer of an upstream. */
+    /** Ends the run without a response of an upstream. */
     void endWithRefusal(RefusalCause cause) {
         endWithRefusal(cause, TimeoutPolicy.retryAfterMillis(cause, facts.remainingMillis(context.nowMillis())));
     }
 
-    /** Ends the run without an answer of an upstream, and tells the caller when to come back; 0 for no advice. */
+    /**
+     * Ends the run without a response of an upstream, and tells the caller after how many milliseconds to retry; 0 for
+     * no advice.
+     */
     void endWithRefusal(RefusalCause cause, long retryMillis) {
         if (finished) {
             return;
@@ -319,7 +326,7 @@
         }
     }
 
-    /** Frees what the run used. */
+    /** Frees the resources of the run. */
     private void close() {
         if (!finished) {
             finished = true;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestSender.java
@@ -15,7 +15,10 @@
 import org.apricotstack.serving.observe.PassedOverCause;
 import org.apricotstack.serving.observe.RefusalCause;
 
-/** Sends one request to one upstream at a time: waits until it may be sent, chooses, reserves and forwards. */
+/**
+ * Makes the attempts of one request, one at a time: waits until it may be sent, chooses upstreams, reserves memory and
+ * forwards it.
+ */
 final class RequestSender {
 
     private final RequestRun run;
@@ -55,18 +58,18 @@
         this.log = log;
     }
 
-    /** Notes the body, which the run holds until it is over. */
+    /** Sets the body, which the run holds until it ends. */
     void body(ByteBuf whole) {
         body = whole;
         suspectTracker.body(whole);
     }
 
-    /** Returns the attempt that is under way, or {@code null}. */
+    /** Returns the attempt in flight, or {@code null}. */
     Attempt current() {
         return current;
     }
 
-    /** Sends the request to an upstream no more. */
+    /** Excludes an upstream from further attempts. */
     void exclude(UpstreamId upstream) {
         excluded.add(upstream);
     }
@@ -99,7 +102,7 @@
         begin(choice, now);
     }
 
-    /** Gives the request to the upstreams that were chosen. */
+    /** Starts an attempt at the chosen upstreams. */
     private void begin(UpstreamChoice choice, long now) {
         chooser.begin(choice, facts.remainingMillis(now));
         reserved = new ReservedHelpers(context, gates, choice);
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Chooses the next upstream, if possible none of those that are to be avoided. */
+    /** Chooses the next upstream, preferably none of the avoided ones. */
     private UpstreamChoice choose(Set<UpstreamId> avoided) {
         UpstreamChoice choice = null;
         if (!avoided.isEmpty()) {
@@ -122,7 +125,10 @@
         return choice == null ? chooser.choose(facts, progress.answerStarted(), excluded) : choice;
     }
 
-    /** Waits until more is known of the request, or it was tried elsewhere; ends as it is sent to no upstream. */
+    /**
+     * Waits until the request's suspicion or the trial of an identical request is decided; refuses it if the decision
+     * or its time requires that.
+     */
     private void holdOrRefuse(SuspectDecision decision, long now) {
         if (decision.action() == SuspectDecision.Action.REFUSE) {
             run.endWithRefusal(RefusalCause.ENDS_UPSTREAMS);
@@ -137,7 +143,7 @@
         }
     }
 
-    /** Waits for room if some may still be found, and ends otherwise. */
+    /** Waits for an upstream to accept requests or for free capacity; refuses the request if neither is in time. */
     private void waitOrRefuse(long now) {
         NextAvailability availability = chooser.nextAvailability(facts.service(), excluded);
         if (availability.millis() > 0) {
@@ -151,7 +157,7 @@
         run.endWithRefusal(noUpstreamCause());
     }
 
-    /** Says why no upstream is left for the request. */
+    /** Returns why no upstream is left for the request. */
     private RefusalCause noUpstreamCause() {
         if (!context.upstreams().usable(facts.service()).isEmpty()) {
             return RefusalCause.NO_ROOM;
@@ -162,8 +168,8 @@
     }
 
     /**
-     * Waits until an upstream opens if that is in time, and ends otherwise. One request waits for each upstream that is
-     * closed by its limit: more than that would wait for permits that others get.
+     * Waits until the first upstream accepts requests if that is in time, and refuses the request otherwise. One
+     * request may wait for each rate-limited upstream; more would wait for permits that others get.
      */
     private void waitUntilAvailable(NextAvailability availability, long now) {
         if (mayWaitUntilAvailable(availability, now)) {
@@ -181,7 +187,9 @@
         }
     }
 
-    /** Tells whether it is of use to wait; a stream whose answer has begun waits as long as its caller may. */
+    /**
+     * Returns whether waiting for an upstream is useful; a stream that has started may wait as long as its caller does.
+     */
     private boolean mayWaitUntilAvailable(NextAvailability availability, long now) {
         if (progress.answerStarted()) {
             return now + availability.millis() < progress.lastMillis() + TimeoutPolicy.patienceMillis(facts.route());
@@ -195,7 +203,7 @@
                         chooser.skippedUpstreams(facts.service()).rateLimited().size());
     }
 
-    /** Tells whether room may still be found before the caller loses patience, as no event was passed on yet. */
+    /** Returns whether capacity may become free before the caller gives up; only while no event was forwarded. */
     private boolean mayWaitForCapacity(long now) {
         return facts.runsOnEngines()
                 && !context.upstreams().usable(facts.service()).isEmpty()
@@ -203,12 +211,12 @@
                 && !progress.answerStarted();
     }
 
-    /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
+    /** Returns whether a stream that waits for a busy engine would get its next event sooner at another one. */
     boolean wouldBeFasterElsewhere(Attempt attempt) {
         return chooser.fasterElsewhere(facts, attempt.choice(), progress.answerStarted(), excluded);
     }
 
-    /** Looks again a little later, while engines are worth more to others. */
+    /** Retries a little later, while the engines' capacity is worth more to other requests. */
     private void waitForCapacity() {
         if (!waitsForCapacity) {
             waitsForCapacity = true;
@@ -217,19 +225,19 @@
         retryLater(TimeoutPolicy.RECHECK_MILLIS);
     }
 
-    /** Tries to send the request a little later. */
+    /** Schedules another try. */
     private void retryLater(long millis) {
         context.loop().schedule(millis, this::sendAgain);
     }
 
-    /** Sends the request unless it is over, or was sent meanwhile. */
+    /** Sends the request unless the run has ended or an attempt is in flight. */
     private void sendAgain() {
         if (!run.finished() && current == null) {
             send();
         }
     }
 
-    /** Goes on once the memory is reserved. */
+    /** Continues the attempt after the answers to its reservations. */
     private void reservationAnswered(Attempt attempt, boolean done) {
         if (attempt != current || attempt.finished()) {
             return;
@@ -241,17 +249,17 @@
         }
     }
 
-    /** Goes on once the upstream's limit lets the request pass. */
+    /** Requests a permit for the upstream, if it needs one, and continues the attempt. */
     private void acquire(Attempt attempt) {
         gates.limits().acquire(attempt.upstream().id(), granted -> permitAnswered(attempt, granted));
     }
 
-    /** Sends the request if it may be sent, and otherwise tries another upstream. */
+    /** Sends the request if it may be sent now; otherwise chooses another upstream. */
     private void permitAnswered(Attempt attempt, boolean granted) {
         if (attempt != current || attempt.finished()) {
             return;
         }
-        PassedOverCause cause = granted ? gates.whyNotSent(attempt.choice()) : PassedOverCause.LIMIT;
+        PassedOverCause cause = granted ? gates.unavailableCause(attempt.choice()) : PassedOverCause.LIMIT;
         if (cause != null) {
             log.passedOver(
                     attempt, cause, gates.blockedMillis(attempt.upstream().id()));
@@ -268,14 +276,14 @@
         }
     }
 
-    /** Makes an attempt of the route's kind. */
+    /** Creates an attempt of the route's kind. */
     private Attempt newAttempt(UpstreamChoice choice, long now) {
         return facts.route().kind() == RequestKind.STREAMING
                 ? new StreamAttempt(run, choice, now, TimeoutPolicy.tokenGapLimitMillis(facts.route()))
                 : new Attempt(run, choice, now);
     }
 
-    /** Hands an attempt to a connection. */
+    /** Sends an attempt over a connection. */
     private void forward(Attempt attempt, SuspectDecision decision) {
         long now = context.nowMillis();
         suspectTracker.sent(decision, attempt.upstream().id(), facts.remainingMillis(now));
@@ -300,7 +308,7 @@
                 facts.silenceMillis(choice, now));
     }
 
-    /** Ends the attempt that is under way; its upstream notices. */
+    /** Cancels the attempt in flight; its upstream detects the closed connection. */
     void cancel() {
         Attempt last = current;
         if (last != null) {
@@ -309,7 +317,7 @@
         }
     }
 
-    /** Frees what an attempt used. */
+    /** Frees the resources of an attempt. */
     void end(Attempt attempt) {
         if (attempt == current) {
             current = null;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
@@ -14,40 +14,40 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The memory that one send reserves at its helpers, freed on every way out.
+ * Memory that one attempt reserves at its helpers, released however the attempt ends.
  *
- * <p>What goes wrong: this process dies, or an order is lost or carried out seconds late, and memory stays taken though
- * no request uses it. So a reservation lasts less than the time for which unused memory may stay taken, and is renewed
- * while the request runs: nobody has to know of it after a crash. A release is repeated until it is answered, and if
- * any order was not answered, until no late one can be carried out any more. An engine that started again holds
- * nothing: renewing there would take memory that no request uses, so its reservation is over.
+ * <p>If this process dies, or a reserve or release call is lost or executed seconds late, memory stays reserved though
+ * no request uses it. A reservation therefore expires before the time for which unused memory may stay reserved, and is
+ * renewed while the request runs, so that a crash of this process needs no recovery. A release is repeated until it is
+ * answered, and if any call was not answered, until a late one can no longer be executed. An engine that restarted
+ * holds no reservation: a renewal there would take memory that no request uses, so its reservation is dropped.
  */
 final class ReservedHelpers {
 
-    /** Time that a reservation lasts, in milliseconds; memory may stay taken for 4 s after its request. */
+    /** Duration of a reservation, in milliseconds; memory may stay reserved for at most 4 s after its request ended. */
     static final long HOLD_MILLIS = 3_600;
 
-    /** Time between two renewals, in milliseconds; two may be lost in a row. */
+    /** Interval between renewals, in milliseconds; two in a row may be lost. */
     private static final long RENEW_MILLIS = 1_000;
 
-    /** Time between two releases, in milliseconds. */
+    /** Interval between releases while they are not answered, in milliseconds. */
     private static final long RELEASE_MILLIS = 300;
 
-    /** Time between two releases against orders that may still be carried out, in milliseconds. */
+    /** Interval between releases while an unanswered call may still be executed, in milliseconds. */
     private static final long LATE_RELEASE_MILLIS = 1_000;
 
-    /** Time after which an order that was not answered is no longer carried out, in milliseconds. */
-    private static final long LATE_ORDER_MILLIS = 13_000;
+    /** Time after which an unanswered call is no longer executed, in milliseconds. */
+    private static final long LATE_CALL_MILLIS = 13_000;
 
     private final ServingContext context;
     private final UpstreamGates gates;
     private final UpstreamChoice choice;
     private final List<ForwardingParameters.Helper> helpers = new ArrayList<>();
     private ScheduledFuture<?> renewal;
-    private long unansweredMillis = Long.MIN_VALUE / 2;
+    private long lastUnansweredMillis = Long.MIN_VALUE / 2;
     private boolean ended;
 
-    /** Creates the helpers of a send; nothing is reserved yet. */
+    /** Creates the helpers of an attempt without reserving memory. */
     ReservedHelpers(ServingContext context, UpstreamGates gates, UpstreamChoice choice) {
         this.context = context;
         this.gates = gates;
@@ -60,35 +60,35 @@
         }
     }
 
-    /** Returns the helpers as the upstream is told of them. */
+    /** Returns the helpers as they are sent to the upstream. */
     List<ForwardingParameters.Helper> helpers() {
         return helpers;
     }
 
-    /** Reserves the memory; the result says whether all of it is reserved. */
+    /** Reserves the memory; the result says whether all of it was reserved. */
     Mono<Boolean> reserve() {
-        return order().doOnNext(done -> {
+        return send().doOnNext(done -> {
             if (done && !ended) {
                 renewal = context.loop().schedule(RENEW_MILLIS, this::renew);
             }
         });
     }
 
-    /** Renews the reservations, whatever became of the orders before. */
+    /** Renews the reservations, whether or not earlier calls succeeded. */
     private void renew() {
         if (!ended) {
             renewal = context.loop().schedule(RENEW_MILLIS, this::renew);
-            order().subscribe();
+            send().subscribe();
         }
     }
 
-    /** Orders all reservations once. */
-    private Mono<Boolean> order() {
+    /** Sends one reserve call to each helper that needs one. */
+    private Mono<Boolean> send() {
         return Flux.range(0, helpers.size())
                 .filter(i -> helpers.get(i).reservation() != null)
                 .filter(i -> !context.upstreams()
                         .hasRestarted(helpers.get(i).upstream().id()))
-                .flatMap(i -> order(helpers.get(i).upstream(), onNotice -> context.engines()
+                .flatMap(i -> send(helpers.get(i).upstream(), onNotice -> context.engines()
                                 .reserve(
                                         helpers.get(i).upstream(),
                                         helpers.get(i).reservation(),
@@ -101,24 +101,24 @@
     }
 
     /**
-     * Gives one order. It counts towards the engine's limit, but is not held back: without it the request would be cut
-     * off, or memory would stay taken.
+     * Sends one call. It is charged to the engine's rate limit, but needs no permit: without it the request would be
+     * cut off, or memory would stay reserved.
      */
-    private Mono<Boolean> order(UpstreamEntry engine, Function<Consumer<UpstreamNotice>, Mono<Boolean>> order) {
+    private Mono<Boolean> send(UpstreamEntry engine, Function<Consumer<UpstreamNotice>, Mono<Boolean>> call) {
         return Mono.defer(() -> {
             long sentMillis = context.nowMillis();
             gates.limits().charge(engine.id());
-            return order.apply(notice -> gates.answered(engine.id(), notice, sentMillis, null));
+            return call.apply(notice -> gates.answered(engine.id(), notice, sentMillis, null));
         });
     }
 
-    /** Notes an order that was not answered and may be carried out late. */
+    /** Records an unanswered call, which may be executed late. */
     private void unanswered(UpstreamEntry engine) {
-        unansweredMillis = context.nowMillis();
-        context.outlierDetector().ordersLost(engine.id(), unansweredMillis);
+        lastUnansweredMillis = context.nowMillis();
+        context.outlierDetector().ordersLost(engine.id(), lastUnansweredMillis);
     }
 
-    /** Releases all memory. */
+    /** Releases all reservations. */
     void release() {
         if (ended) {
             return;
@@ -134,21 +134,21 @@
         }
     }
 
-    /** Sends a release, and again while it is not answered or a late order may follow. */
+    /** Sends a release, and repeats it while it is not answered or a late call may follow. */
     private void release(UpstreamEntry engine, String reservation) {
         if (context.upstreams().find(engine.id()) == null) {
             return;
         }
-        order(engine, onNotice -> context.engines().release(engine, reservation, onNotice))
+        send(engine, onNotice -> context.engines().release(engine, reservation, onNotice))
                 .subscribe(done -> releaseLater(engine, reservation, LATE_RELEASE_MILLIS), error -> {
                     unanswered(engine);
                     releaseLater(engine, reservation, RELEASE_MILLIS);
                 });
     }
 
-    /** Plans another release if an order may still be carried out. */
+    /** Schedules another release if an unanswered call may still be executed. */
     private void releaseLater(UpstreamEntry engine, String reservation, long delayMillis) {
-        if (context.nowMillis() - unansweredMillis < LATE_ORDER_MILLIS) {
+        if (context.nowMillis() - lastUnansweredMillis < LATE_CALL_MILLIS) {
             context.loop().schedule(delayMillis, () -> release(engine, reservation));
         }
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RetryBudgets.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RetryBudgets.java
@@ -7,7 +7,7 @@
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.retry.WindowedRetryBudget;
 
-/** This router's share of the repeated sends that each service may get. */
+/** This router's share of each service's retry budget. */
 public final class RetryBudgets {
 
     private final double ratio;
@@ -19,10 +19,10 @@
     /**
      * Creates the budgets.
      *
-     * @param ratio repeats allowed for each request
+     * @param ratio retries allowed for each request
      * @param windowMillis length of the sliding window, in milliseconds
-     * @param slack repeats in a window that all routers together may make beyond the ratio
-     * @param routers how many routers share the slack
+     * @param slack retries in a window that all routers together may make in addition to the ratio
+     * @param routers number of routers that share the slack
      */
     public RetryBudgets(double ratio, long windowMillis, double slack, IntSupplier routers) {
         this.ratio = ratio;
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ServingContext.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ServingContext.java
@@ -18,27 +18,27 @@
 import org.apricotstack.serving.observe.ServingMetrics;
 
 /**
- * What all requests of a router share.
+ * Components that all requests of a router share.
  *
  * @param process this router process
- * @param dataCentre where it stands
- * @param loop the thread
+ * @param dataCentre its data centre
+ * @param loop the event loop
  * @param configuration the configuration in force, or {@code null} before the first
  * @param upstreams the listed upstreams
- * @param outlierDetector judges them
- * @param loadTable what engines are doing
+ * @param outlierDetector health records of the upstreams
+ * @param loadTable placements and load of the engines
  * @param connections connections to upstreams
- * @param protocol the upstreams' headers
- * @param engines what engines offer beside running prompts
- * @param placementGossip tells other routers
- * @param suspects requests under which upstreams ended
- * @param suspectGossip tells other routers of them
- * @param limits the rate limits that upstreams named
- * @param limitGossip tells other routers of them
- * @param budgets what may be repeated
- * @param bodies bounds the bytes of requests that are held
- * @param log takes decisions
- * @param metrics counts
+ * @param protocol header format of the upstreams
+ * @param engines control operations of engines
+ * @param placementGossip reports placements and failures to the other routers
+ * @param suspects requests that were in flight when upstreams crashed
+ * @param suspectGossip reports suspected requests to the other routers
+ * @param limits the rate limits that upstreams advertised
+ * @param limitGossip reports rate limits to the other routers
+ * @param budgets retry budgets
+ * @param bodies limits the bytes of buffered request bodies
+ * @param log the decision log
+ * @param metrics the metrics
  */
 public record ServingContext(
         ProcessId process,
@@ -61,7 +61,7 @@
         DecisionLog log,
         ServingMetrics metrics) {
 
-    /** Reads the clock, in milliseconds. */
+    /** Returns the time of the loop's clock, in milliseconds. */
     long nowMillis() {
         return loop.nowMillis();
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCause.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCause.java
@@ -2,23 +2,23 @@
 
 import org.apricotstack.core.upstream.FailureKind;
 
-/** Why an engine says nothing on a request. */
+/** Cause of an engine's silence on a request. */
 enum SilenceCause {
-    /** The engine does not answer, or has started again: all that it was given is lost. */
+    /** The engine does not answer, or has restarted and lost all its requests. */
     DEAD(FailureKind.SILENT),
-    /** The engine goes on with other requests, and none waits there: only this one is lost. */
+    /** The engine serves other requests and has an empty queue, so only this request was lost. */
     PASSED_OVER(FailureKind.PASSED_OVER),
-    /** The engine is there and has more to do than it can do at once. */
+    /** The engine is alive but overloaded. */
     BUSY(null);
 
     private final FailureKind failure;
 
-    /** Creates a reason. */
+    /** Creates a cause. */
     SilenceCause(FailureKind failure) {
         this.failure = failure;
     }
 
-    /** Returns how the upstream failed; {@code null} if it did not. */
+    /** Returns the kind of failure; {@code null} if the engine did not fail. */
     FailureKind failure() {
         return failure;
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
@@ -8,20 +8,26 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Finds out why an engine is silent, before a stream is moved and its whole prompt read again elsewhere.
+ * Finds out why an engine is silent, before its stream is moved and the whole prompt is prefilled again elsewhere.
  *
- * <p>What goes wrong without it: under load all streams of an engine pause, each is moved, every move adds reading to
- * the other engines, and these pause too. A stream that stops while others of its engine go on is lost alone. In all
- * other cases the engine is asked: one that does not answer, or that has started again since, is gone. One whose queue
- * is not empty is overloaded and not faulty: a request without a first event is most likely in that queue. Taken for a
- * fault, the engine would be avoided, and the others would have to take its load.
+ * <p>Without this check, overload spreads: all streams of an overloaded engine stall, each is moved, every move adds
+ * prefill work to the other engines, and these stall too. A stream that stalls while others of its engine continue was
+ * lost on its own. In all other cases the engine is queried. One that does not answer, or that has restarted since, is
+ * dead. One with a non-empty queue is overloaded and not faulty, as a request without a first event is most likely in
+ * that queue; if that were counted as a failure, the engine would be avoided and the others would have to take its
+ * load.
  */
 final class SilenceCheck {
 
-    /** Events of other streams count as a sign of life for this time, in milliseconds: a few passes. */
+    /**
+     * Time for which an event of another stream proves that the engine is alive, in milliseconds: a few batch steps.
+     */
     private static final long ALIVE_MILLIS = 300;
 
-    /** Time for which an answer of an engine serves all streams, in milliseconds, as asking is priced. */
+    /**
+     * Time for which a status report is reused for all streams of the engine, in milliseconds, because status calls
+     * cost money.
+     */
     private static final long CACHE_MILLIS = 500;
 
     private final ServingContext context;
@@ -30,10 +36,10 @@
     private final Map<UpstreamId, Query> queries = new HashMap<>();
 
     /**
-     * A question to an engine.
+     * A status query to an engine.
      *
      * @param atMillis when the query was sent
-     * @param answer its answer, which all streams share
+     * @param answer the result, shared by all streams
      */
     private record Query(long atMillis, Mono<SilenceCause> answer) {}
 
@@ -43,16 +49,16 @@
         this.gates = gates;
     }
 
-    /** Notes an event of an engine. */
+    /** Records an event of an engine. */
     void eventReceived(UpstreamId engine) {
         lastEventMillis.put(engine, context.nowMillis());
     }
 
     /**
-     * Says why an engine is silent on a request; the answer may take a fraction of a second.
+     * Returns why an engine is silent on a request; may take a fraction of a second.
      *
-     * @param choice the engine and those that help it
-     * @param answerStarted whether events of the request came before
+     * @param choice the engine and its helpers
+     * @param answerStarted whether events of the request have arrived
      */
     Mono<SilenceCause> cause(UpstreamChoice choice, boolean answerStarted) {
         UpstreamEntry engine = choice.upstream();
@@ -64,41 +70,42 @@
     }
 
     /**
-     * Tells whether helpers still read parts of the prompt. The queue of the engine that answers says nothing of them,
-     * as newer parts go ahead of them at the helpers. Taken for lost, the whole prompt would be read again.
+     * Returns whether helpers still prefill their parts of the prompt. The queue of the responding engine does not show
+     * that, as helpers run newer parts first. If the request were taken for lost, its whole prompt would be prefilled
+     * again.
      */
     private boolean waitsForHelpers(UpstreamChoice choice) {
         return !choice.helpers().isEmpty()
                 && context.loadTable().remainingPrefillMillis(choice.placement().id(), context.nowMillis()) > 0;
     }
 
-    /** Tells whether a silent engine is gone; the answer may take a fraction of a second. */
+    /** Returns whether a silent engine is dead; may take a fraction of a second. */
     Mono<Boolean> isDead(UpstreamEntry engine) {
         return hasRecentEvents(engine) ? Mono.just(false) : answer(engine).map(found -> found == SilenceCause.DEAD);
     }
 
-    /** Tells whether other streams of an engine go on. */
+    /** Returns whether an event of any stream of an engine has arrived recently. */
     private boolean hasRecentEvents(UpstreamEntry engine) {
         Long last = lastEventMillis.get(engine.id());
         return last != null && context.nowMillis() - last < ALIVE_MILLIS;
     }
 
-    /** Asks an engine unless it was asked a moment ago; passed over means that nothing waits there. */
+    /** Queries an engine unless a recent result exists; {@code PASSED_OVER} means that its queue is empty. */
     private Mono<SilenceCause> answer(UpstreamEntry engine) {
         long now = context.nowMillis();
         Query before = queries.get(engine.id());
         if (before == null || now - before.atMillis() > CACHE_MILLIS) {
-            before = new Query(now, ask(engine));
+            before = new Query(now, query(engine));
             queries.put(engine.id(), before);
         }
         return before.answer();
     }
 
     /**
-     * Asks an engine if it may be asked now. One whose limit lets no request pass, or that asked for a back-off, counts
-     * as overloaded.
+     * Queries an engine if it may be queried now. One that is blocked by its rate limit or a back-off counts as
+     * overloaded.
      */
-    private Mono<SilenceCause> ask(UpstreamEntry engine) {
+    private Mono<SilenceCause> query(UpstreamEntry engine) {
         if (gates.backOffs().blockedMillis(engine.id()) > 0) {
             return Mono.just(SilenceCause.BUSY);
         }
@@ -107,7 +114,7 @@
                 .cache();
     }
 
-    /** Reads an engine's report. */
+    /** Requests and evaluates an engine's status report. */
     private Mono<SilenceCause> report(UpstreamEntry engine) {
         long sentMillis = context.nowMillis();
         return context.engines()
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SkippedUpstreams.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SkippedUpstreams.java
@@ -5,14 +5,14 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 
 /**
- * The upstreams of a service that get no requests now, by what their answers said.
+ * The upstreams of a service that are skipped now because of their notices.
  *
- * @param rateLimited those that have got as many as they said that they take
- * @param draining those that announced that they leave
- * @param backingOff those that asked for a back-off
+ * @param rateLimited upstreams whose rate limit is used up
+ * @param draining upstreams that announced a drain
+ * @param backingOff upstreams that requested a back-off
  */
 record SkippedUpstreams(List<UpstreamEntry> rateLimited, List<UpstreamEntry> draining, List<UpstreamEntry> backingOff) {
 
-    /** No upstream is passed over. */
+    /** No upstream is skipped. */
     static final SkippedUpstreams NONE = new SkippedUpstreams(List.of(), List.of(), List.of());
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamAttempt.java
@@ -5,7 +5,7 @@
 import org.apricotstack.core.upstream.FailureKind;
 import org.apricotstack.serving.http.ResponseHead;
 
-/** One send of a request that is answered by a series of events; whole events are passed on as they come. */
+/** An attempt whose response is an event stream; complete events are forwarded as they arrive. */
 final class StreamAttempt extends Attempt {
 
     private final EventSplitter splitter = new EventSplitter();
@@ -15,9 +15,9 @@
     private boolean answerStarted;
 
     /**
-     * Creates an attempt that was not sent yet.
+     * Creates an attempt that has not been sent.
      *
-     * @param pauseLimitMillis silence between events after which the stream is moved, in milliseconds
+     * @param tokenGapLimitMillis silence between events after which the stream is moved, in milliseconds
      */
     StreamAttempt(RequestRun run, UpstreamChoice choice, long startMillis, long tokenGapLimitMillis) {
         super(run, choice, startMillis);
@@ -40,7 +40,7 @@
         splitter.feed(data, this::event);
     }
 
-    /** Takes a whole event. */
+    /** Processes a complete event. */
     private void event(EventSplitter.Event event) {
         if (finished()) {
             event.bytes().release();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
@@ -1,6 +1,6 @@
 package org.apricotstack.serving.run;
 
-/** How far a stream has come, so that no event is passed on twice and none is missing. */
+/** Position in a stream, used to detect duplicate and missing events. */
 final class StreamProgress {
 
     private String lastEventId;
@@ -11,7 +11,7 @@
     private long longestTokenGapMillis;
     private boolean answerStarted;
 
-    /** Creates the progress of a stream that follows an event that the caller has; {@code null} if it has none. */
+    /** Creates the position after the last event that the caller has; {@code null} if it has none. */
     StreamProgress(String lastEventId) {
         this.lastEventId = lastEventId;
         if (lastEventId != null) {
@@ -24,24 +24,24 @@
         }
     }
 
-    /** Tells whether an event is the one that follows. */
+    /** Returns whether an event is the next one in sequence. */
     boolean isNext(long id) {
         return id < 0 || !counted || id == last + 1;
     }
 
-    /** Tells whether events before this one are missing. */
+    /** Returns whether events before this one are missing. */
     boolean skipsEvents(long id) {
         return counted && id > last + 1;
     }
 
-    /** Tells whether an event is the first of its attempt, once. */
+    /** Returns whether an event is the first of its attempt; {@code true} once per attempt. */
     boolean isFirstOf(Attempt attempt) {
         boolean first = currentAttempt != attempt;
         currentAttempt = attempt;
         return first;
     }
 
-    /** Notes an event that is passed on. */
+    /** Records a forwarded event. */
     void eventForwarded(long id, long nowMillis) {
         if (answerStarted) {
             longestTokenGapMillis = Math.max(longestTokenGapMillis, nowMillis - lastMillis);
@@ -55,22 +55,22 @@
         }
     }
 
-    /** Tells whether an event was passed on. */
+    /** Returns whether an event was forwarded. */
     boolean answerStarted() {
         return answerStarted;
     }
 
-    /** Returns when the last event was passed on. */
+    /** Returns when the last event was forwarded. */
     long lastMillis() {
         return lastMillis;
     }
 
-    /** Returns the event after which the stream goes on, or {@code null}. */
+    /** Returns the id of the event after which the stream resumes, or {@code null}. */
     String lastEventId() {
         return lastEventId;
     }
 
-    /** Returns the longest time between two events. */
+    /** Returns the longest time between two events, in milliseconds. */
     long longestTokenGapMillis() {
         return longestTokenGapMillis;
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGate.java
@@ -16,24 +16,27 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 
 /**
- * Keeps requests under which upstreams end from ending more of them; see {@link SuspectTable}.
+ * Prevents requests that crash upstreams from crashing more of them; see {@link SuspectTable}.
  *
- * <p>All requests that broke off at an upstream are judged together, once it is known whether the upstream ended: the
- * first of them would otherwise be judged without knowing of the others.
+ * <p>All attempts that were interrupted at an upstream are evaluated together once it is known whether the upstream
+ * crashed. Otherwise the first one would be evaluated without the others, which may be the cause.
  */
 final class SuspectGate {
 
-    /** Time after which the cause of an end is looked for, in milliseconds; others tell what they know meanwhile. */
+    /**
+     * Time after a crash at which its cause is determined, in milliseconds; meanwhile the reports of other routers
+     * arrive.
+     */
     private static final long REVIEW_MILLIS = 45;
 
     /**
-     * Time after which an upstream that still took a connection is asked once more, in milliseconds: a process that is
-     * ending may lose its requests before it stops to listen.
+     * Time after which an upstream that still accepted a connection is checked again, in milliseconds: a crashing
+     * process may lose its requests before it closes its listening socket.
      */
     private static final long CRASH_RECHECK_MILLIS = 100;
 
-    /** Ends under a request from which on routers that stand by are told of it too. */
-    private static final int BROADCAST_CRASHES = 3;
+    /** Number of crashes with a request in flight from which on standby routers receive the reports too. */
+    private static final int MIN_CRASHES_TO_BROADCAST = 3;
 
     private final ServingContext context;
     private final CrashCheck crashCheck;
@@ -41,45 +44,45 @@
     private final Map<UpstreamId, List<InterruptedAttempt>> waiting = new HashMap<>();
 
     /**
-     * An attempt that broke off and waits to know whether its upstream ended.
+     * An interrupted attempt that waits for the crash check of its upstream.
      *
-     * @param request the request
-     * @param answerStarted whether some of its answer had come
-     * @param then takes whether the upstream ended
+     * @param request digest of the request
+     * @param answerStarted whether a part of the response had arrived
+     * @param then called with whether the upstream crashed
      */
     private record InterruptedAttempt(RequestDigest request, boolean answerStarted, Consumer<Boolean> then) {}
 
-    /** Creates a gate; the action takes each request that becomes suspected, or of which more is known. */
+    /** Creates a gate; the callback receives each request that becomes suspected or whose suspicion changes. */
     SuspectGate(ServingContext context, Consumer<RequestDigest> onSuspicionChanged) {
         this.context = context;
         this.crashCheck = new CrashCheck(context);
         this.onSuspicionChanged = onSuspicionChanged;
     }
 
-    /** Tells whether a failure may mean that the upstream ended, and was not about to leave. */
+    /** Returns whether a failure may mean that the upstream crashed rather than stopped as planned. */
     boolean mayHaveCrashed(UpstreamEntry upstream, FailureKind kind) {
         return crashCheck.mayHaveCrashed(upstream, kind);
     }
 
-    /** Notes that an upstream left as planned, so that the end of its process says nothing. */
-    void stoppedAsPlanned(UpstreamId start) {
-        crashCheck.stoppedAsPlanned(start);
+    /** Records that an upstream drained before it exited, so that its exit is no crash. */
+    void stoppedAsPlanned(UpstreamId incarnation) {
+        crashCheck.stoppedAsPlanned(incarnation);
     }
 
-    /** Finds out whether an upstream ended at which an attempt broke off, and goes on then. */
+    /** Checks whether the upstream of an interrupted attempt crashed, then continues the attempt's run. */
     void attemptInterrupted(
             UpstreamEntry upstream, RequestDigest request, boolean answerStarted, Consumer<Boolean> then) {
-        InterruptedAttempt one = new InterruptedAttempt(request, answerStarted, then);
+        InterruptedAttempt attempt = new InterruptedAttempt(request, answerStarted, then);
         List<InterruptedAttempt> others = waiting.get(upstream.id());
         if (others != null) {
-            others.add(one);
+            others.add(attempt);
             return;
         }
-        waiting.put(upstream.id(), new ArrayList<>(List.of(one)));
+        waiting.put(upstream.id(), new ArrayList<>(List.of(attempt)));
         crashCheck.hasCrashed(upstream).subscribe(crashed -> crashChecked(upstream, crashed));
     }
 
-    /** Judges all attempts that broke off at an upstream, then lets each go on. */
+    /** Evaluates all interrupted attempts of an upstream together, then continues their runs. */
     private void crashChecked(UpstreamEntry upstream, boolean crashed) {
         List<InterruptedAttempt> all = waiting.remove(upstream.id());
         if (crashed) {
@@ -87,10 +90,10 @@
         } else {
             context.loop().schedule(CRASH_RECHECK_MILLIS, () -> recheckCrash(upstream, all));
         }
-        all.forEach(one -> one.then().accept(crashed));
+        all.forEach(attempt -> attempt.then().accept(crashed));
     }
 
-    /** Judges attempts that went on already, if their upstream has ended meanwhile. */
+    /** Evaluates attempts whose runs have continued already, if their upstream has crashed meanwhile. */
     private void recheckCrash(UpstreamEntry upstream, List<InterruptedAttempt> all) {
         if (crashCheck.isListedAndServing(upstream.id())) {
             crashCheck
@@ -100,18 +103,21 @@
         }
     }
 
-    /** Notes the end of an upstream, here and at the other routers. */
+    /** Records the crash of an upstream and reports it to the other routers. */
     private void recordCrash(UpstreamId upstream, List<InterruptedAttempt> all) {
         long now = context.nowMillis();
         List<RequestDigest> requests = new ArrayList<>();
         List<RequestDigest> answerStarted = new ArrayList<>();
         boolean repeated = false;
-        for (InterruptedAttempt one : all) {
-            ObservedCrash end = new ObservedCrash(upstream, one.answerStarted(), now);
-            if (context.suspects().upstreamCrashed(one.request(), end, context.process(), now)) {
-                (one.answerStarted() ? answerStarted : requests).add(one.request());
-                repeated |=
-                        context.suspects().find(one.request(), now).crashes().size() > 1;
+        for (InterruptedAttempt attempt : all) {
+            ObservedCrash crash = new ObservedCrash(upstream, attempt.answerStarted(), now);
+            if (context.suspects().upstreamCrashed(attempt.request(), crash, context.process(), now)) {
+                (attempt.answerStarted() ? answerStarted : requests).add(attempt.request());
+                repeated |= context.suspects()
+                                .find(attempt.request(), now)
+                                .crashes()
+                                .size()
+                        > 1;
             }
         }
         if (requests.isEmpty() && answerStarted.isEmpty()) {
@@ -122,7 +128,9 @@
         answerStarted.forEach(this::reportSuspected);
     }
 
-    /** Tells of an end under a request that this router saw. */
+    /**
+     * Logs the suspicion of a request after a crash that this router observed, and broadcasts it after several crashes.
+     */
     private void reportSuspected(RequestDigest request) {
         SuspectedRequest suspect = context.suspects().find(request, context.nowMillis());
         context.log()
@@ -132,13 +140,16 @@
                 .put("upstreams", suspect.upstreams())
                 .put("since_millis", context.nowMillis() - suspect.sinceMillis())
                 .write();
-        if (suspect.crashes().size() >= BROADCAST_CRASHES) {
+        if (suspect.crashes().size() >= MIN_CRASHES_TO_BROADCAST) {
             context.suspectGossip().broadcast(suspect);
         }
         suspicionChanged(request);
     }
 
-    /** Looks again at what is in flight of a request of which more is known, and once its cause can be known. */
+    /**
+     * Re-evaluates the attempts of a request whose suspicion changed, and again once the cause of the crash can be
+     * determined.
+     */
     void suspicionChanged(RequestDigest request) {
         onSuspicionChanged.accept(request);
         if (context.suspects().mayBeCause(request)) {
@@ -150,44 +161,44 @@
         }
     }
 
-    /** Decides what is done with a request that is about to be sent. */
+    /** Decides whether a request may be sent. */
     SuspectDecision decide(RequestDigest request) {
         return context.suspects().decide(request, context.nowMillis());
     }
 
-    /** Tells whether a request is the cause of its upstreams' ends. */
+    /** Returns whether a request was found to be the cause of crashes. */
     boolean isRefused(RequestDigest request) {
         return context.suspects().isRefused(request, context.nowMillis());
     }
 
-    /** Tells whether the ends of upstreams under a request count against it. */
+    /** Returns whether crashes count against a request. */
     boolean isSuspected(RequestDigest request) {
         return context.suspects().isSuspected(request);
     }
 
-    /** Tells whether any request may be suspected whose head has a hash. */
+    /** Returns whether a suspected request may have this head hash. */
     boolean mayContain(long head) {
         return context.suspects().mayContain(head);
     }
 
-    /** Tells whether no request is suspected. */
+    /** Returns whether no request is suspected. */
     boolean isIdle() {
         return context.suspects().isEmpty();
     }
 
-    /** Notes that a suspected request is sent. */
+    /** Records that the trial of a suspected request started. */
     void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis) {
         context.suspects().trialStarted(request, context.process(), upstream, context.nowMillis() + limitMillis);
         context.suspectGossip().trialStarted(request, upstream, limitMillis);
     }
 
-    /** Notes that a suspected request is at no upstream any more. */
+    /** Records that the trial of a suspected request ended. */
     void trialEnded(RequestDigest request) {
         context.suspects().trialEnded(request, context.process(), context.nowMillis());
         context.suspectGossip().trialEnded(request);
     }
 
-    /** Notes that an upstream ran a request to its end. */
+    /** Records that an upstream completed a request, which clears it of suspicion. */
     void served(RequestDigest request) {
         if (context.suspects().requestServed(request)) {
             context.suspectGossip().served(request);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectGossip.java
@@ -6,45 +6,45 @@
 import org.apricotstack.core.suspect.RequestDigest;
 import org.apricotstack.core.suspect.SuspectedRequest;
 
-/** Tells the other routers of requests under which upstreams end. */
+/** Reports requests that were in flight when upstreams crashed to the other routers. */
 public interface SuspectGossip {
 
     /**
-     * Tells that an upstream ended.
+     * Reports the crash of an upstream.
      *
-     * @param upstream the start that ended
-     * @param requests what was in flight there and had got nothing of its answer
-     * @param answerStarted what had got some of it
-     * @param repeated whether other upstreams ended under one of these requests before
+     * @param upstream the crashed incarnation
+     * @param requests requests in flight there without any part of a response
+     * @param answerStarted requests in flight there with a part of the response
+     * @param repeated whether other upstreams crashed before with one of these requests in flight
      */
     void upstreamCrashed(
             UpstreamId upstream, List<RequestDigest> requests, List<RequestDigest> answerStarted, boolean repeated);
 
     /**
-     * Tells all that is known of a request, also to routers that stand by: callers may come to them with it.
+     * Reports a suspected request to all routers, including standby routers, which callers may send it to.
      *
-     * @param suspect what is known
+     * @param suspect the suspected request
      */
     void broadcast(SuspectedRequest suspect);
 
     /**
-     * Tells that a suspected request is sent.
+     * Reports the start of a suspected request's trial.
      *
      * @param request the request
-     * @param upstream where it is sent
-     * @param limitMillis longest time that it may take, in milliseconds
+     * @param upstream the upstream that runs the trial
+     * @param limitMillis longest time that the trial may take, in milliseconds
      */
     void trialStarted(RequestDigest request, UpstreamId upstream, long limitMillis);
 
     /**
-     * Tells that a suspected request is at no upstream any more.
+     * Reports the end of a suspected request's trial.
      *
      * @param request the request
      */
     void trialEnded(RequestDigest request);
 
     /**
-     * Tells that a request is not suspected any more, as an upstream ran it to its end.
+     * Reports that a request is no longer suspected because an upstream completed it.
      *
      * @param request the request
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectTracker.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SuspectTracker.java
@@ -7,10 +7,10 @@
 import org.apricotstack.serving.observe.RefusalCause;
 
 /**
- * What one run has to do with suspected requests.
+ * Connects one run to the suspicion of its request.
  *
- * <p>The body is hashed only if an upstream ended under the run, or if a request with the same head is suspected: a
- * prompt of a million tokens takes about 10 ms, which its first token would wait for.
+ * <p>The body is hashed only if an upstream crashed during the run, or if a suspected request has the same head.
+ * Hashing a prompt of a million tokens takes about 10 ms and would delay the first token.
  */
 final class SuspectTracker {
 
@@ -21,18 +21,18 @@
     private RequestDigest digest;
     private boolean trialStarted;
 
-    /** Creates the suspicion of a run whose body has not come. */
+    /** Creates the tracker of a run whose body has not arrived. */
     SuspectTracker(SuspectGate gate, RequestFacts facts) {
         this.gate = gate;
         this.facts = facts;
     }
 
-    /** Notes the body, which is hashed only while the run holds it. */
+    /** Sets the body, which is hashed only while the run holds it. */
     void body(ByteBuf whole) {
         body = whole;
     }
 
-    /** Returns what tells the request apart over its repeats. */
+    /** Returns the digest that is the same for all repeats of the request. */
     RequestDigest digest() {
         if (digest == null) {
             digest = new RequestDigest(head(), RequestDigest.hashBody(body.nioBuffers(), facts.clientAccountId()));
@@ -40,7 +40,7 @@
         return digest;
     }
 
-    /** Returns the hash of all but the body. */
+    /** Returns the hash of the request without its body. */
     private long head() {
         if (head == null) {
             head = facts.headDigest(body.readableBytes());
@@ -48,46 +48,46 @@
         return head;
     }
 
-    /** Tells whether this is a suspected request. */
+    /** Returns whether this run has the given request. */
     boolean matches(RequestDigest request) {
         return body != null && request.head() == head() && request.equals(digest());
     }
 
-    /** Decides what is done with the request before it is sent. */
+    /** Decides whether the request may be sent. */
     SuspectDecision decide() {
         boolean unknown = gate.isIdle() || !gate.mayContain(head());
         return unknown ? SuspectDecision.SEND : gate.decide(digest());
     }
 
-    /** Notes that it is sent on a decision. */
+    /** Starts a trial if the decision requires one for this attempt. */
     void sent(SuspectDecision decision, UpstreamId upstream, long limitMillis) {
         if (decision.action() == SuspectDecision.Action.TRY) {
             trialStarted(upstream, limitMillis);
         }
     }
 
-    /** Notes that it is at an upstream, so that the same request is sent to no other meanwhile. */
+    /** Records that the request is at an upstream, so that identical requests are not sent to others meanwhile. */
     void trialStarted(UpstreamId upstream, long limitMillis) {
         trialStarted = true;
         gate.trialStarted(digest(), upstream, limitMillis);
     }
 
-    /** Tells whether it is the cause of its upstreams' ends. */
+    /** Returns whether the request was found to be the cause of crashes. */
     boolean isRefused() {
         return gate.isRefused(digest());
     }
 
-    /** Tells whether it is suspected, and was sent before that was known, so that its repeats may be sent too. */
+    /** Returns whether the request became suspected after it was sent, so that identical ones may be in flight too. */
     boolean isSentBeforeSuspected() {
         return !trialStarted && gate.isSuspected(digest());
     }
 
-    /** Returns what tells the request apart if it is refused as suspected, else {@code null}. */
+    /** Returns the digest if the request is refused as suspected, else {@code null}. */
     RequestDigest digestIfSuspected(RefusalCause cause) {
         return cause == RefusalCause.ENDS_UPSTREAMS || cause == RefusalCause.REPEAT_IN_TRIAL ? digest() : null;
     }
 
-    /** Notes that it is at no upstream any more. */
+    /** Records that no upstream has the request any more. */
     void attemptEnded() {
         if (trialStarted) {
             trialStarted = false;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Notes that an upstream ran it to its end. */
+    /** Records that an upstream completed the request. */
     void served() {
         if (!gate.isIdle() && gate.mayContain(head())) {
             gate.served(digest());
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/TimeoutPolicy.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/TimeoutPolicy.java
@@ -6,45 +6,56 @@
 /** How long callers wait, and how long the router waits for an upstream before it tries another one. */
 final class TimeoutPolicy {
 
-    /** Callers leave a stream after a gap of two seconds, in milliseconds, or longer as below. */
+    /** Shortest token gap after which callers abandon a stream, in milliseconds; the factors below may extend it. */
     private static final long MIN_PATIENCE_MILLIS = 2_000;
 
-    /** They also wait for four times the target, or eight times the allowed pause, whichever is longest. */
+    /**
+     * Callers wait at least this many times the latency target, or {@value #TOKEN_GAPS} times the token gap target,
+     * whichever is longer.
+     */
     private static final long LATENCY_TARGETS = 4;
 
     private static final long TOKEN_GAPS = 8;
 
-    /** Share of a caller's patience that a prediction may use; the rest covers its error. */
+    /** Share of the caller's patience that a predicted latency may use; the rest covers the prediction error. */
     private static final double PLANNED_SHARE = 0.9;
 
-    /** Silence before a first event that is put down to a fault: this many times the prediction and a fixed part. */
+    /**
+     * Silence before the first event counts as a failure after this factor times the prediction, plus a fixed margin.
+     */
     private static final double FIRST_EVENT_FACTOR = 2;
 
     private static final long FIRST_EVENT_MARGIN_MILLIS = 1_100;
 
-    /** Silence between events that is put down to a fault: twice the allowed pause and a fixed part. */
+    /** Silence between events counts as a failure after this factor times the token gap target, plus a fixed margin. */
     private static final long TOKEN_GAP_FACTOR = 2;
 
     private static final long TOKEN_GAP_MARGIN_MILLIS = 600;
 
-    /** Share of the time left after which a plain request is sent again. */
+    /** Share of the remaining time after which a plain request is retried. */
     private static final double ANSWER_SHARE = 0.3;
 
-    /** Callers follow an advice to return only up to a third of the time that they have left. */
+    /** Callers follow a retry-after only up to their remaining time divided by this number. */
     private static final long RETRY_AFTER_DIVISOR = 3;
 
-    /** Time after which a full service usually has room, in milliseconds: about the length of a short answer. */
+    /**
+     * Time after which a full service usually has free capacity, in milliseconds: about the duration of a short
+     * response.
+     */
     private static final long CAPACITY_WAIT_MILLIS = 700;
 
-    /** Time between two looks of a request that waits for room, in milliseconds: two passes. */
+    /** Interval between checks of a request that waits for capacity, in milliseconds: two batch steps. */
     static final long RECHECK_MILLIS = 100;
 
-    /** Time that moving a stream must gain, in milliseconds; its prompt is read again elsewhere. */
+    /** Least time that moving a stream must gain, in milliseconds, as its prompt is prefilled again elsewhere. */
     static final double MIN_MOVE_GAIN_MILLIS = 400;
 
     private TimeoutPolicy() {}
 
-    /** Returns how long a caller waits for the first event, as far as a prediction may use it. */
+    /**
+     * Returns how long a caller waits for the first event, reduced by a margin for the prediction error, in
+     * milliseconds.
+     */
     static long patienceMillis(Route route) {
         long patience = Math.max(
                 MIN_PATIENCE_MILLIS,
@@ -52,22 +63,25 @@
         return (long) (patience * PLANNED_SHARE);
     }
 
-    /** Returns the silence before the first event after which another upstream is tried. */
+    /** Returns the silence before the first event after which another upstream is tried, in milliseconds. */
     static long firstEventLimitMillis(double predictedMillis) {
         return (long) (FIRST_EVENT_FACTOR * predictedMillis) + FIRST_EVENT_MARGIN_MILLIS;
     }
 
-    /** Returns the silence between events after which the stream is moved. */
+    /**
+     * Returns the silence between events after which the stream is moved, in milliseconds; 0 if the request may not be
+     * retried.
+     */
     static long tokenGapLimitMillis(Route route) {
         return route.idempotent() ? TOKEN_GAP_FACTOR * route.tokenGapTargetMillis() + TOKEN_GAP_MARGIN_MILLIS : 0;
     }
 
-    /** Returns the silence after which a plain request is sent to another upstream. */
+    /** Returns the silence after which a plain request is sent to another upstream, in milliseconds. */
     static long answerLimitMillis(Route route, long remainingMillis) {
         return Math.max(1, Math.min((long) (remainingMillis * ANSWER_SHARE), 2 * route.targetLatencyMillis()));
     }
 
-    /** Returns when a caller should come back. */
+    /** Returns the retry-after for a caller, in milliseconds; 0 for no advice. */
     static long retryAfterMillis(RefusalCause cause, long remainingMillis) {
         long useful = Math.max(0, remainingMillis / RETRY_AFTER_DIVISOR);
         return switch (cause) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
@@ -23,13 +23,13 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 import org.apricotstack.serving.observe.PassedOverCause;
 
-/** Chooses upstreams: engines by the placer, plain upstreams by what this router has in flight there. */
+/** Chooses upstreams: engines by the placer, plain upstreams by this router's requests in flight. */
 final class UpstreamChooser {
 
-    /** What a likely failure counts for, in requests in flight, when plain upstreams are compared. */
+    /** Cost of a certain failure, in requests in flight, when plain upstreams are compared. */
     private static final double FAILURE_WEIGHT = 12;
 
-    /** What another data centre counts for, in requests in flight. */
+    /** Cost of another data centre, in requests in flight. */
     private static final double DISTANCE_WEIGHT = 0.6;
 
     private final ServingContext context;
@@ -45,12 +45,12 @@
         this.silenceCheck = new SilenceCheck(context, gates);
     }
 
-    /** Returns what finds out why an engine is silent. */
+    /** Returns the check that explains why an engine is silent. */
     SilenceCheck silenceCheck() {
         return silenceCheck;
     }
 
-    /** Chooses the upstreams for the next send of a request; {@code null} if none can answer in time. */
+    /** Chooses the upstreams for the next attempt of a request; {@code null} if none can respond in time. */
     UpstreamChoice choose(RequestFacts facts, boolean answerStarted, Set<UpstreamId> excluded) {
         return facts.runsOnEngines()
                 ? chooseEngines(
@@ -61,7 +61,7 @@
                 : choosePlain(facts.service(), excluded);
     }
 
-    /** Chooses an upstream of a plain service; {@code null} if none is listed. */
+    /** Chooses an upstream of a plain service; {@code null} if none is available. */
     private UpstreamChoice choosePlain(ServiceId service, Set<UpstreamId> excluded) {
         UpstreamEntry best = null;
         double bestCost = Double.MAX_VALUE;
@@ -77,7 +77,7 @@
         return best == null ? null : new UpstreamChoice(best, List.of(), null, 0, false, false, false);
     }
 
-    /** Chooses engines for a prompt; {@code null} if none can give a first event in time. */
+    /** Chooses engines for a prompt; {@code null} if none can send a first event in time. */
     private UpstreamChoice chooseEngines(
             ServiceId service, EngineProfile profile, PromptRequest request, Set<UpstreamId> excluded) {
         long now = context.nowMillis();
@@ -123,7 +123,7 @@
                 PromptAdmission.isRefused(choice, request.promptTokens()));
     }
 
-    /** Returns when the first upstream of a service opens, if all that may be used are closed now. */
+    /** Returns when the first usable upstream of a service accepts requests again, if all are blocked now. */
     NextAvailability nextAvailability(ServiceId service, Set<UpstreamId> excluded) {
         if (gates.isIdle()) {
             return NextAvailability.IMMEDIATE;
@@ -142,7 +142,7 @@
         return first == null || first.millis() == 0 ? NextAvailability.IMMEDIATE : first;
     }
 
-    /** Lists the upstreams of a service that get no requests now, by what their answers said. */
+    /** Returns the upstreams of a service that are skipped now because of their notices. */
     SkippedUpstreams skippedUpstreams(ServiceId service) {
         if (gates.isIdle() && context.upstreams().drains().isEmpty()) {
             return SkippedUpstreams.NONE;
@@ -158,7 +158,7 @@
                         .toList());
     }
 
-    /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
+    /** Returns whether a stream that waits for a busy engine would get its next event sooner at another one. */
     boolean fasterElsewhere(RequestFacts facts, UpstreamChoice used, boolean answerStarted, Set<UpstreamId> excluded) {
         UpstreamId engine = used.upstream().id();
         double here = nextEventMillis(used, answerStarted);
@@ -173,7 +173,10 @@
                 && elsewhere.predictedMillis() + TimeoutPolicy.MIN_MOVE_GAIN_MILLIS < here;
     }
 
-    /** Predicts when a stream gets its next event; one that is still read by several engines, when all have done so. */
+    /**
+     * Predicts the time to the next event of a stream; while several engines prefill its prompt, the time until all
+     * have finished.
+     */
     private double nextEventMillis(UpstreamChoice used, boolean answerStarted) {
         long now = context.nowMillis();
         double prefillMillis = answerStarted || used.helpers().isEmpty()
@@ -184,7 +187,7 @@
                 : context.loadTable().load(used.upstream().id()).nextEventMillis(now);
     }
 
-    /** Notes that a choice is used. */
+    /** Records the start of an attempt and reports its placement. */
     void begin(UpstreamChoice choice, long limitMillis) {
         inFlight.merge(choice.upstream().id(), 1, Integer::sum);
         context.outlierDetector().trialStarted(choice.upstream().id(), context.nowMillis());
@@ -194,7 +197,7 @@
         }
     }
 
-    /** Notes that the first event came. */
+    /** Records that the first event arrived and reports that decoding has started. */
     void decodeStarted(UpstreamChoice choice) {
         if (choice.placement() != null) {
             context.loadTable().startDecoding(choice.placement().id(), context.nowMillis());
@@ -202,7 +205,10 @@
         }
     }
 
-    /** Lets a failure count against the upstream that caused it, here and at the other routers, unless it leaves. */
+    /**
+     * Records a failure against the responsible upstream and reports it to the other routers, unless the upstream is
+     * draining.
+     */
     void failed(UpstreamId responsible, FailureKind kind) {
         if (context.upstreams().isDraining(responsible)) {
             return;
@@ -226,7 +232,7 @@
                 .write();
     }
 
-    /** Notes that a choice is no longer used. */
+    /** Records the end of an attempt and reports the end of its placement. */
     void end(UpstreamChoice choice) {
         inFlight.computeIfPresent(choice.upstream().id(), (id, count) -> count > 1 ? count - 1 : null);
         if (choice.placement() != null) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamGates.java
@@ -6,8 +6,8 @@
 import org.apricotstack.serving.observe.PassedOverCause;
 
 /**
- * The one place that takes in all that answers of upstreams say of the upstreams themselves: answers to requests,
- * reports and orders, of any status, also late ones. What another upstream at the address says does not come here.
+ * Processes the notices in answers of upstreams: answers to requests, status reports and reservations, of any status,
+ * also late ones. Notices of another instance at an upstream's address are not passed to it.
  */
 final class UpstreamGates {
 
@@ -16,7 +16,7 @@
     private final DrainGate drains;
     private final BackOffGate backOffs;
 
-    /** Creates gates that let everything pass. */
+    /** Creates gates without limits, drains or back-offs. */
     UpstreamGates(ServingContext context) {
         this.context = context;
         this.limits = new LimitGate(context);
@@ -24,42 +24,48 @@
         this.backOffs = new BackOffGate(context);
     }
 
-    /** Returns what keeps rate limits. */
+    /** Returns the rate limits. */
     LimitGate limits() {
         return limits;
     }
 
-    /** Returns what knows of announced drains. */
+    /** Returns the announced drains. */
     DrainGate drains() {
         return drains;
     }
 
-    /** Returns what keeps back-offs that upstreams asked for. */
+    /** Returns the requested back-offs. */
     BackOffGate backOffs() {
         return backOffs;
     }
 
-    /** Tells whether nothing that upstreams said of their limits or back-offs holds any request up. */
+    /** Returns whether no rate limit or back-off is in force. */
     boolean isIdle() {
         return limits.isIdle() && backOffs.isIdle();
     }
 
-    /** Returns the time until a request to an upstream may pass, in milliseconds; 0 if it may pass or be asked for. */
+    /**
+     * Returns the time until a request may be sent to an upstream, in milliseconds; 0 if it may be sent or a permit may
+     * be requested.
+     */
     long blockedMillis(UpstreamId upstream) {
         return Math.max(limits.blockedMillis(upstream), backOffs.blockedMillis(upstream));
     }
 
-    /** Says why a choice that was made is not sent now; {@code null} if it is, as far as answers say. */
-    PassedOverCause whyNotSent(UpstreamChoice choice) {
-        PassedOverCause cause = whyNotUsed(choice.upstream().id());
+    /**
+     * Returns why the upstreams of a choice may no longer be used; {@code null} if they may. Rate limits are checked
+     * elsewhere.
+     */
+    PassedOverCause unavailableCause(UpstreamChoice choice) {
+        PassedOverCause cause = skipCause(choice.upstream().id());
         for (UpstreamEntry helper : choice.helpers()) {
-            cause = cause == null ? whyNotUsed(helper.id()) : cause;
+            cause = cause == null ? skipCause(helper.id()) : cause;
         }
         return cause;
     }
 
-    /** Says why an upstream is to be given nothing now, leaving limits aside. */
-    private PassedOverCause whyNotUsed(UpstreamId upstream) {
+    /** Returns why an upstream may not be used now, apart from rate limits; {@code null} if it may. */
+    private PassedOverCause skipCause(UpstreamId upstream) {
         if (context.upstreams().isDraining(upstream)) {
             return PassedOverCause.DRAINING;
         }
@@ -67,12 +73,12 @@
     }
 
     /**
-     * Takes in what an answer says.
+     * Processes the notice in an answer.
      *
      * @param upstream the upstream that answered
-     * @param notice what the answer says of it
-     * @param sentMillis when the request was sent, or before; {@link Long#MIN_VALUE} if it is not known
-     * @param requestId the request, or {@code null} if it is no caller's
+     * @param notice the notice
+     * @param sentMillis when the request was sent, or an earlier time; {@link Long#MIN_VALUE} if unknown
+     * @param requestId id of the request, or {@code null} if no caller's request was answered
      */
     void answered(UpstreamId upstream, UpstreamNotice notice, long sentMillis, String requestId) {
         limits.answered(upstream, notice.limit(), sentMillis, requestId);
@@ -80,12 +86,12 @@
         backOffs.answered(upstream, notice.backOff(), requestId);
     }
 
-    /** Forgets a start of an upstream that is over. */
+    /** Removes the state of an incarnation that no longer runs. */
     void forget(UpstreamId upstream) {
         limits.forget(upstream);
     }
 
-    /** Forgets what holds no more; tells whether the platform's list of upstreams can be relied upon. */
+    /** Removes expired state; the argument says whether the platform's list of upstreams is up to date. */
     void expire(boolean platformAnswers) {
         limits.expire();
         drains.expire(platformAnswers);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/package-info.java
@@ -1,2 +1,2 @@
-/** The life of a request: checks, choice of upstreams, attempts, resumed streams, and the final answer. */
+/** Handling of requests: validation, choice of upstreams, attempts, resumed streams and the final response. */
 package org.apricotstack.serving.run;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/AttemptCountTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/AttemptCountTest.java
@@ -14,7 +14,7 @@
 
 class AttemptCountTest {
 
-    private static final long LEFT_MILLIS = 10_000;
+    private static final long REMAINING_MILLIS = 10_000;
     private static final int MAX_ATTEMPTS = 2;
 
     private final AttemptCount attempts = new AttemptCount(new Route(
@@ -35,20 +35,20 @@
         return fail(kind, false);
     }
 
-    private RefusalCause fail(FailureKind kind, boolean leaving) {
-        boolean isUncounted = attempts.isUncounted(kind, leaving);
+    private RefusalCause fail(FailureKind kind, boolean draining) {
+        boolean isUncounted = attempts.isUncounted(kind, draining);
         attempts.send();
         attempts.failed(kind, isUncounted);
-        return attempts.retryRefusal(kind, isUncounted, LEFT_MILLIS);
+        return attempts.retryRefusal(kind, isUncounted, REMAINING_MILLIS);
     }
 
     /**
-     * Symptom: the longest prompts of an overload are refused with ten seconds left while 18 of 22 engines run.
-     * Sequence: four engines crash at once and are tried again at the same moment, each refuses the connection. Cause:
-     * four sends that reached nobody ended the request.
+     * During an overload, the longest prompts were refused with ten seconds left while 18 of 22 engines were running.
+     * Four engines had crashed at once and were tried again at the same moment, and four refused connections used up
+     * the attempts of a request that had reached no engine.
      */
     @Test
-    void goesOnAfterAsManyRefusedConnectionsAsEnginesAreLostTogether() {
+    void retriesAfterAsManyRefusedConnectionsAsEnginesCrashTogether() {
         for (int i = 0; i < 6; i++) {
             assertThat(fail(FailureKind.NO_CONNECTION)).isNull();
         }
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void givesUpInTheEndIfNobodyTakesAConnection() {
+    void givesUpEventuallyIfAllConnectionsAreRefused() {
         RefusalCause cause = null;
         for (int i = 0; i < 100 && cause == null; i++) {
             cause = fail(FailureKind.NO_CONNECTION);
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"FULL", "OTHER_INSTANCE", "HELPER_GONE", "DRAINING", "WITHHELD"})
-    void countsNoSendThatAnUpstreamTurnsAwayAsItLeaves(FailureKind kind) {
+    void countsNoAttemptThatADrainingUpstreamRejects(FailureKind kind) {
         for (int i = 0; i < 6; i++) {
             assertThat(fail(kind, true)).isNull();
         }
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"RESET", "CUT"})
-    void countsOnlyTheFirstSendNotThatAnUpstreamLosesAsItLeaves(FailureKind kind) {
+    void exemptsOnlyTheFirstConnectionThatADrainingUpstreamDrops(FailureKind kind) {
         assertThat(fail(kind, true)).isNull();
         assertThat(attempts.sent()).isZero();
         assertThat(fail(kind, true)).isNull();
@@ -85,13 +85,13 @@
     }
 
     @Test
-    void countsSendsThatALeavingUpstreamMayStillRun() {
+    void countsAttemptsThatADrainingUpstreamMayStillRun() {
         assertThat(fail(FailureKind.SILENT, true)).isNull();
         assertThat(fail(FailureKind.SILENT, true)).isEqualTo(RefusalCause.ATTEMPTS_USED);
     }
 
     @Test
-    void countsSendsThatReachedAnUpstream() {
+    void countsAttemptsThatReachedAnUpstream() {
         assertThat(fail(FailureKind.NO_CONNECTION)).isNull();
         assertThat(fail(FailureKind.RESET)).isNull();
         assertThat(fail(FailureKind.RESET)).isEqualTo(RefusalCause.ATTEMPTS_USED);
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitGossip.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitGossip.java
@@ -7,17 +7,17 @@
 import org.apricotstack.core.ratelimit.PermitGrant;
 import org.apricotstack.core.ratelimit.RateLimit;
 
-/** A keeper that grants no permits, and counts what it is told. */
+/** A permit issuer that grants no permits and counts the calls. */
 final class DenyingLimitGossip implements LimitGossip {
 
-    static final long AGAIN_MILLIS = 900;
+    static final long RETRY_MILLIS = 900;
 
-    int asked;
-    int charged;
+    int permitRequests;
+    int chargedRequests;
 
     @Override
     public void limitChanged(UpstreamId upstream, LimitChange change, RateLimit limit) {
-        // Nobody else is to be told.
+        // Limit changes are not reported in these tests.
     }
 
     @Override
@@ -27,12 +27,12 @@
 
     @Override
     public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-        asked++;
-        then.accept(new PermitGrant(0, AGAIN_MILLIS));
+        permitRequests++;
+        then.accept(new PermitGrant(0, RETRY_MILLIS));
     }
 
     @Override
     public void charge(UpstreamId upstream, RateLimit limit, int requests) {
-        charged += requests;
+        chargedRequests += requests;
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/RequestFactsTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/RequestFactsTest.java
@@ -23,10 +23,9 @@
 class RequestFactsTest {
 
     /**
-     * Symptom: lists of 45,000 tokens were held until their callers left, and never tried. Sequence: engines are
-     * scarce, so
-     * the prompt waits, and its deadline of 10 s leaves room to wait for 7 s. Cause: callers leave a stream that gives
-     * nothing for 6 s, whatever their deadline is.
+     * Prompts of 45,000 tokens waited for scarce engines until their callers disconnected, and were never sent. Their
+     * deadline of 10 s allowed a wait of 7 s, but callers abandon a stream without an event after 6 s, whatever their
+     * deadline is.
      */
     @ParameterizedTest
     @CsvSource({
@@ -40,9 +39,9 @@
         "300, 250, 10000, 100, 700, false",
         "3000, 1000, 3000, 1000, 0, false"
     })
-    void waitsOnlyWhileTheCallerWould(
+    void waitsOnlyWithinTheCallersPatience(
             long targetMillis,
-            long pauseMillis,
+            long tokenGapMillis,
             long limitMillis,
             double predictedMillis,
             long waitedMillis,
@@ -59,7 +58,7 @@
                 2,
                 true,
                 true,
-                pauseMillis);
+                tokenGapMillis);
         CallerRequest request = new CallerRequest(
                 "id",
                 "h",
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -33,7 +33,7 @@
     private static final UpstreamEntry LEAD = engine("lead", 1);
     private static final UpstreamEntry HELPER = engine("helper", 2);
 
-    private int orders;
+    private int calls;
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
@@ -77,7 +77,7 @@
                 1);
     }
 
-    /** Takes all orders. */
+    /** Accepts all calls and counts them. */
     private final class Engines implements EngineCalls {
         @Override
         public Mono<Boolean> reserve(
@@ -86,16 +86,16 @@
                 long tokens,
                 long holdMillis,
                 Consumer<UpstreamNotice> onNotice) {
-            return Mono.fromSupplier(() -> taken(onNotice));
+            return Mono.fromSupplier(() -> accept(onNotice));
         }
 
         @Override
         public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
-            return Mono.fromSupplier(() -> taken(onNotice));
+            return Mono.fromSupplier(() -> accept(onNotice));
         }
 
-        private boolean taken(Consumer<UpstreamNotice> onNotice) {
-            orders++;
+        private boolean accept(Consumer<UpstreamNotice> onNotice) {
+            calls++;
             onNotice.accept(new UpstreamNotice(
                     new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
                     AdvertisedDrain.ABSENT,
@@ -105,12 +105,12 @@
 
         @Override
         public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
-            return Mono.error(new IllegalStateException("No report is expected."));
+            return Mono.error(new IllegalStateException("No status query is expected."));
         }
     }
 
     @Test
-    void sendsOrdersToALimitedEngineAndCountsThem() {
+    void chargesReservationCallsToALimitedEngineWithoutAPermit() {
         upstreams.put(HELPER);
         limits.reportedByPeer(HELPER.id(), new RateLimit(2, 0));
         EnginePlacement placement = new EnginePlacement(
@@ -123,8 +123,8 @@
         ReservedHelpers helpers = new ReservedHelpers(context, new UpstreamGates(context), choice);
         assertThat(helpers.reserve().block()).isTrue();
         helpers.release();
-        assertThat(orders).isEqualTo(2);
-        assertThat(limitGossip.charged).isEqualTo(2);
-        assertThat(limitGossip.asked).isZero();
+        assertThat(calls).isEqualTo(2);
+        assertThat(limitGossip.chargedRequests).isEqualTo(2);
+        assertThat(limitGossip.permitRequests).isZero();
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -62,7 +62,7 @@
             new EngineProfile(8, 300_000, 50, 1, 0, 0, 200, 0, Integer.MAX_VALUE, 800);
 
     private long nowMillis;
-    private int asked;
+    private int queries;
     private Mono<EngineCalls.Report> report = Mono.just(new EngineCalls.Report(5, 3, 1));
     private UpstreamNotice notice = UpstreamNotice.NONE;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
@@ -98,7 +98,7 @@
         log.close();
     }
 
-    /** Counts the questions. */
+    /** Counts the status queries. */
     private final class Engines implements EngineCalls {
         @Override
         public Mono<Boolean> reserve(
@@ -107,18 +107,18 @@
                 long tokens,
                 long holdMillis,
                 Consumer<UpstreamNotice> onNotice) {
-            return Mono.error(new IllegalStateException("No order is expected."));
+            return Mono.error(new IllegalStateException("No reservation call is expected."));
         }
 
         @Override
         public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
-            return Mono.error(new IllegalStateException("No order is expected."));
+            return Mono.error(new IllegalStateException("No reservation call is expected."));
         }
 
         @Override
         public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
             return Mono.defer(() -> {
-                asked++;
+                queries++;
                 onNotice.accept(notice);
                 return report;
             });
@@ -126,12 +126,11 @@
     }
 
     /**
-     * Symptom: under load the fleet went into overload by itself. Sequence: all streams of an engine pause, each is
-     * moved
-     * and its prompt read again elsewhere. Cause: a busy engine was taken for a dead one.
+     * Under load, all streams of a busy engine stalled. Each was moved and its prompt prefilled again elsewhere, which
+     * overloaded the whole fleet. The busy engine had been taken for a dead one.
      */
     @Test
-    void leavesStreamsAtAnEngineThatIsBusy() {
+    void keepsStreamsAtABusyEngine() {
         assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.BUSY);
         assertThat(loadTable.load(ENGINE.id()).slowdown()).isEqualTo(5);
     }
@@ -143,40 +142,40 @@
     }
 
     @Test
-    void movesStreamsFromAnEngineThatStartedAgain() {
+    void movesStreamsFromARestartedEngine() {
         report = Mono.just(new EngineCalls.Report(1, 0, ENGINE.id().incarnation() + 1));
         assertThat(check.isDead(ENGINE).block()).isTrue();
     }
 
     @Test
-    void movesAStreamThatIsSilentAloneWithoutAsking() {
+    void movesASingleSilentStreamWithoutAStatusQuery() {
         check.eventReceived(ENGINE.id());
         nowMillis += 100;
         assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.PASSED_OVER);
-        assertThat(asked).isZero();
+        assertThat(queries).isZero();
     }
 
     /**
-     * Symptom: after all routers had started at once, engines were avoided one after the other, though all were sound.
-     * Sequence: an engine with a queue writes streams, a request in its queue has no first event yet. Cause: a request
-     * without an event beside streams that go on was taken for lost, and its engine for faulty.
+     * After all routers had started at once, healthy engines were avoided one after the other. A request in the queue
+     * of an engine has no first event while the engine decodes other streams; the request was taken for lost and the
+     * engine for faulty.
      */
     @ParameterizedTest
     @CsvSource({"4, BUSY", "0, PASSED_OVER"})
-    void tellsAQueueFromALossWhileOtherStreamsGoOn(int queued, SilenceCause expected) {
+    void distinguishesAQueuedFromALostRequestWhileOtherStreamsContinue(int queued, SilenceCause expected) {
         report = Mono.just(new EngineCalls.Report(1, queued, 1));
         check.eventReceived(ENGINE.id());
         assertThat(check.cause(ALONE, false).block()).isEqualTo(expected);
     }
 
     /**
-     * Symptom: the longest prompts were late by seconds in phases with many of them, and read twice. Sequence: several
-     * engines share a reading; a newer one goes ahead of it at a helper; the engine that is to answer has no queue and
-     * writes other streams. Cause: the request was taken for lost, though a helper had yet to read its part.
+     * In phases with many of the longest prompts, these were late by seconds and prefilled twice. Several engines share
+     * a prefill, and a helper runs a newer part first. The responding engine had an empty queue and decoded other
+     * streams, so the request was taken for lost though a helper had not yet prefilled its part.
      */
     @ParameterizedTest
     @CsvSource({"1000, BUSY", "1900, BUSY", "2100, PASSED_OVER"})
-    void leavesAPromptThatHelpersStillRead(long afterMillis, SilenceCause expected) {
+    void keepsAPromptThatHelpersStillPrefill(long afterMillis, SilenceCause expected) {
         loadTable.load(ENGINE.id()).profile(PROFILE);
         loadTable.load(HELPER.id()).profile(PROFILE);
         EnginePlacement older = place(1, ENGINE, HELPER);
@@ -189,7 +188,7 @@
         assertThat(check.cause(choice, false).block()).isEqualTo(expected);
     }
 
-    /** Places a prompt of which each engine reads for a second, ahead of what is there. */
+    /** Places a prompt of which each engine prefills a part for a second, ahead of earlier parts. */
     private EnginePlacement place(long number, UpstreamEntry... engines) {
         List<EnginePart> parts = new ArrayList<>();
         for (UpstreamEntry engine : engines) {
@@ -202,32 +201,32 @@
     }
 
     @Test
-    void leavesARequestAtAnEngineThatIsSilentOnAllButAnswers() {
+    void keepsARequestAtAnEngineThatIsSilentOnAllStreamsButReportsItsStatus() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
     }
 
     @Test
-    void asksOnceForAllStreamsThatAreSilentTogether() {
+    void queriesOnceForAllStreamsThatFallSilentTogether() {
         for (int i = 0; i < 10; i++) {
             check.cause(ALONE, true).block();
         }
-        assertThat(asked).isEqualTo(1);
+        assertThat(queries).isEqualTo(1);
         nowMillis += 10_000;
         check.cause(ALONE, true).block();
-        assertThat(asked).isEqualTo(2);
+        assertThat(queries).isEqualTo(2);
     }
 
     @Test
-    void takesAnEngineForBusyThatMayNotBeAskedAsItsLimitIsUsedUp() {
+    void assumesAnEngineWithAUsedUpLimitIsBusyWithoutAQuery() {
         limits.reportedByPeer(ENGINE.id(), new RateLimit(1, 0));
         assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
-        assertThat(limitGossip.asked).isEqualTo(1);
-        assertThat(asked).isZero();
+        assertThat(limitGossip.permitRequests).isEqualTo(1);
+        assertThat(queries).isZero();
     }
 
     @Test
-    void readsALimitInAReport() {
+    void appliesTheLimitInAStatusReport() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
                 new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
@@ -236,16 +235,16 @@
     }
 
     @Test
-    void takesAnEngineForBusyThatAskedForABackOffAndDoesNotAskIt() {
+    void assumesAnEngineInBackOffIsBusyWithoutAQuery() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
         AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
         assertThat(gated.isDead(ENGINE).block()).isFalse();
-        assertThat(asked).isZero();
+        assertThat(queries).isZero();
         nowMillis += 3_000;
         gated.isDead(ENGINE).block();
-        assertThat(asked).isEqualTo(1);
+        assertThat(queries).isEqualTo(1);
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/UpstreamChooserTest.java
@@ -21,7 +21,7 @@
 
 class UpstreamChooserTest {
 
-    private static final UpstreamEntry LEAVING = new UpstreamEntry(
+    private static final UpstreamEntry DRAINING = new UpstreamEntry(
             new UpstreamId("leaving", 1),
             new ServiceId("service"),
             new Address("127.0.0.1", 1),
@@ -63,10 +63,10 @@
 
     @ParameterizedTest
     @EnumSource(names = {"NO_CONNECTION", "RESET", "SILENT", "FULL"})
-    void avoidsNoUpstreamThatAnnouncedThatItLeaves(FailureKind kind) {
-        upstreams.put(LEAVING);
-        upstreams.drains().reportedByPeer(LEAVING.id(), 0, 0);
-        new UpstreamChooser(context, new UpstreamGates(context)).failed(LEAVING.id(), kind);
-        assertThat(outlierDetector.failureProbability(LEAVING.id(), 0)).isZero();
+    void doesNotAvoidAnUpstreamThatAnnouncedADrain(FailureKind kind) {
+        upstreams.put(DRAINING);
+        upstreams.drains().reportedByPeer(DRAINING.id(), 0, 0);
+        new UpstreamChooser(context, new UpstreamGates(context)).failed(DRAINING.id(), kind);
+        assertThat(outlierDetector.failureProbability(DRAINING.id(), 0)).isZero();
     }
 }
