--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/BadRequestException.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package org.apricotstack.serving.http;
 
-/** Reports a request that is not proper; the message names the remedy. */
+/** Thrown for a malformed request; the message tells the caller how to correct it. */
 public final class BadRequestException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -8,9 +8,9 @@
     private final int status;
 
     /**
-     * Creates an error.
+     * Creates an exception.
      *
-     * @param status the HTTP status of the answer
+     * @param status the HTTP status of the response
      * @param message what is wrong and what to do about it
      */
     public BadRequestException(int status, String message) {
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Returns the status of the answer.
+     * Returns the status of the response.
      *
      * @return an HTTP status
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
@@ -25,26 +25,29 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
 
-/** One connection of a caller; answers its requests one after the other. */
+/** A connection from a caller; handles its requests one after the other. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
-    /** Parts of later requests that are held while an answer is due; then reading stops. */
-    private static final int MAX_HELD_MESSAGES = 32;
+    /** Messages of pipelined requests that are buffered while a response is due; reading pauses beyond that. */
+    private static final int MAX_PENDING_MESSAGES = 32;
 
-    /** Time for which an ended connection still reads, in milliseconds, so that no reset takes the answer away. */
+    /**
+     * Time for which a connection keeps reading after the last response, in milliseconds; an earlier close could reset
+     * it before the caller has read the response.
+     */
     private static final long LINGER_MILLIS = 500;
 
     private final CallerServer server;
-    private final Deque<Object> held = new ArrayDeque<>();
+    private final Deque<Object> pendingMessages = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private CallerExchange exchange;
-    private CallerRequestListener run;
+    private CallerRequestListener listener;
     private CompositeByteBuf body;
     private long bodyBytes;
-    private boolean bodyWhole = true;
+    private boolean bodyComplete = true;
     private boolean closing;
-    private boolean headBegun;
-    private long lastMillis;
+    private boolean headStarted;
+    private long lastReadMillis;
 
     /** Creates the connection. */
     CallerConnection(CallerServer server) {
@@ -54,22 +57,22 @@
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         context = ctx;
-        lastMillis = server.nowMillis();
+        lastReadMillis = server.nowMillis();
     }
 
-    /** Notes bytes that came, before they are decoded. */
+    /** Records that bytes arrived, before they are decoded. */
     void bytesReceived() {
-        if (!headBegun) {
-            lastMillis = server.nowMillis();
+        if (!headStarted) {
+            lastReadMillis = server.nowMillis();
         }
-        headBegun = true;
+        headStarted = true;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (exchange != null && bodyWhole) {
-            held.addLast(message);
-            if (held.size() > MAX_HELD_MESSAGES) {
+        if (exchange != null && bodyComplete) {
+            pendingMessages.addLast(message);
+            if (pendingMessages.size() > MAX_PENDING_MESSAGES) {
                 ctx.channel().config().setAutoRead(false);
             }
             return;
@@ -77,7 +80,7 @@
         process(message);
     }
 
-    /** Takes a part of the request that is due. */
+    /** Processes a message of the current request. */
     private void process(Object message) {
         try {
             if (closing && exchange == null) {
@@ -94,16 +97,16 @@
         }
     }
 
-    /** Takes a request's line and headers. */
+    /** Processes a request line and headers. */
     private void begin(HttpRequest head) {
-        headBegun = false;
-        lastMillis = server.nowMillis();
+        headStarted = false;
+        lastReadMillis = server.nowMillis();
         bodyBytes = 0;
-        bodyWhole = false;
+        bodyComplete = false;
         exchange = new CallerExchange(this, HttpUtil.isKeepAlive(head));
-        run = null;
+        listener = null;
         if (head.decoderResult().isFailure()) {
-            refuse(statusOf(head.decoderResult().cause()), "The request is not proper HTTP; send it as HTTP/1.1.");
+            refuse(statusOf(head.decoderResult().cause()), "The request is malformed; send it as HTTP/1.1.");
             return;
         }
         if (HttpUtil.getContentLength(head, 0L) > server.limits().bodyBytes()) {
@@ -117,13 +120,13 @@
             if (HttpUtil.is100ContinueExpected(head)) {
                 write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
             }
-            run = server.handler().open(request, exchange);
+            listener = server.handler().open(request, exchange);
         } catch (BadRequestException e) {
             refuse(HttpResponseStatus.valueOf(e.status()), e.getMessage());
         }
     }
 
-    /** Returns the status that reports what could not be decoded. */
+    /** Returns the status for a decoding error. */
     private static HttpResponseStatus statusOf(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
             return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
@@ -133,24 +136,26 @@
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
-    /** Refuses a request that is not proper, and ends the connection, as its rest cannot be told from a next one. */
+    /**
+     * Rejects a malformed request and closes the connection, as the start of a next request cannot be found reliably.
+     */
     private void refuse(HttpResponseStatus status, String message) {
         server.countMalformed();
         closing = true;
         CallerExchange refused = exchange;
-        bodyWhole = true;
+        bodyComplete = true;
         refused.answer(
                 status,
                 new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8"),
                 Unpooled.copiedBuffer(message, StandardCharsets.UTF_8));
     }
 
-    /** Takes a piece of a request's body. */
+    /** Processes a chunk of a request body. */
     private void append(HttpContent content) {
-        if (exchange == null || bodyWhole) {
+        if (exchange == null || bodyComplete) {
             return;
         }
-        lastMillis = server.nowMillis();
+        lastReadMillis = server.nowMillis();
         if (content.decoderResult().isFailure()) {
             callerDisconnected();
             closing = true;
@@ -167,22 +172,22 @@
             appendToBody(data);
         }
         if (content instanceof LastHttpContent && exchange != null) {
-            bodyWhole = true;
-            headBegun = false;
+            bodyComplete = true;
+            headStarted = false;
             if (exchange.ended()) {
                 next(closing);
             } else {
                 ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
                 body = null;
-                run.body(whole);
+                listener.body(whole);
             }
         }
     }
 
-    /** Refuses a body that turned out to be too long. */
+    /** Rejects a body that turned out to be too long. */
     private void refuseBody() {
-        CallerRequestListener ended = run;
-        run = null;
+        CallerRequestListener ended = listener;
+        listener = null;
         if (ended != null) {
             ended.disconnected();
         }
@@ -195,7 +200,7 @@
         }
     }
 
-    /** Keeps a piece of a body. */
+    /** Appends a chunk to the buffered body. */
     private void appendToBody(ByteBuf data) {
         if (body == null) {
             body = Unpooled.compositeBuffer(Integer.MAX_VALUE);
@@ -203,7 +208,7 @@
         body.addComponent(true, data.retain());
     }
 
-    /** Drops what is kept of a body. */
+    /** Releases the buffered body. */
     private void dropBody() {
         if (body != null) {
             body.release();
@@ -211,32 +216,32 @@
         }
     }
 
-    /** Goes on to the next request after an answer was given. */
+    /** Continues with the next request after a response. */
     void answered(boolean close) {
         closing |= close;
         dropBody();
-        if (bodyWhole) {
+        if (bodyComplete) {
             next(closing);
         }
     }
 
-    /** Ends the connection, or takes the next request. */
+    /** Closes the connection, or processes the next request. */
     private void next(boolean close) {
         exchange = null;
-        run = null;
-        lastMillis = server.nowMillis();
+        listener = null;
+        lastReadMillis = server.nowMillis();
         if (close) {
-            endAfterAnswer();
+            closeAfterResponse();
             return;
         }
         context.channel().config().setAutoRead(true);
-        while (!held.isEmpty() && (exchange == null || !bodyWhole)) {
-            process(held.pollFirst());
+        while (!pendingMessages.isEmpty() && (exchange == null || !bodyComplete)) {
+            process(pendingMessages.pollFirst());
         }
     }
 
-    /** Says that nothing more comes, and closes a little later. */
-    private void endAfterAnswer() {
+    /** Shuts down the output, and closes the connection after a delay. */
+    private void closeAfterResponse() {
         closing = true;
         context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener((ChannelFutureListener) done -> {
             Channel channel = done.channel();
@@ -249,34 +254,34 @@
         });
     }
 
-    /** Breaks the connection off. */
+    /** Aborts the connection. */
     void abort() {
         closing = true;
         dropBody();
         exchange = null;
-        run = null;
+        listener = null;
         context.close();
     }
 
-    /** Closes the connection if it waits for a request. */
+    /** Closes the connection if it has no request in flight, otherwise after the response. */
     void closeIfIdle() {
         closing = true;
-        if (exchange == null && !headBegun) {
-            endAfterAnswer();
+        if (exchange == null && !headStarted) {
+            closeAfterResponse();
         }
     }
 
-    /** Ends what callers take too long for. */
+    /** Closes the connection if a timeout for receiving a request has passed. */
     void closeTimedOut(long nowMillis) {
-        long silence = nowMillis - lastMillis;
+        long silence = nowMillis - lastReadMillis;
         boolean timedOut;
         if (exchange == null) {
             timedOut = silence
-                    > (headBegun
+                    > (headStarted
                             ? server.limits().headerTimeoutMillis()
                             : server.limits().idleTimeoutMillis());
         } else {
-            timedOut = !bodyWhole && silence > server.limits().idleTimeoutMillis();
+            timedOut = !bodyComplete && silence > server.limits().idleTimeoutMillis();
         }
         if (timedOut) {
             closing = true;
@@ -285,50 +290,50 @@
         }
     }
 
-    /** Writes something that others follow at once. */
+    /** Writes a message without flushing, as others follow at once. */
     void writeWithoutFlush(Object message) {
         context.write(message);
     }
 
-    /** Writes something. */
+    /** Writes and flushes a message. */
     void write(Object message) {
         context.writeAndFlush(message);
     }
 
-    /** Tells whether the connection ends after the answer that is due. */
+    /** Returns whether the connection closes after the current response. */
     boolean closing() {
         return closing || server.stopping();
     }
 
-    /** Tells whether the caller keeps up. */
+    /** Returns whether the write buffer is below its high-water mark. */
     boolean writable() {
         return context.channel().isWritable();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (ctx.channel().isWritable() && run != null) {
-            run.writable();
+        if (ctx.channel().isWritable() && listener != null) {
+            listener.writable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         callerDisconnected();
-        while (!held.isEmpty()) {
-            ReferenceCountUtil.release(held.pollFirst());
+        while (!pendingMessages.isEmpty()) {
+            ReferenceCountUtil.release(pendingMessages.pollFirst());
         }
         server.closed(this);
     }
 
-    /** Ends the run of a caller that left. */
+    /** Ends the run of a caller that disconnected. */
     private void callerDisconnected() {
         dropBody();
-        CallerRequestListener ended = run;
+        CallerRequestListener ended = listener;
         CallerExchange open = exchange;
-        run = null;
+        listener = null;
         exchange = null;
-        bodyWhole = true;
+        bodyComplete = true;
         if (open != null && !open.ended()) {
             open.callerDisconnected();
             if (ended != null) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerExchange.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerExchange.java
@@ -17,10 +17,10 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Takes the answer to one request of a caller.
+ * Sends the response to one request of a caller.
  *
- * <p>An answer of which only a part can be given ends with a closed connection and without its last chunk, so that it
- * never looks complete.
+ * <p>A response that cannot be completed ends with a closed connection and without its last chunk, so that the caller
+ * can detect that it is incomplete.
  */
 public final class CallerExchange {
 
@@ -29,18 +29,18 @@
     private boolean answerStarted;
     private boolean ended;
 
-    /** Creates an exchange for the request that was just read. */
+    /** Creates an exchange for a request whose headers were just read. */
     CallerExchange(CallerConnection connection, boolean keepAlive) {
         this.connection = connection;
         this.keepAlive = keepAlive;
     }
 
     /**
-     * Gives a whole answer.
+     * Sends a complete response.
      *
      * @param status its status
-     * @param headers its headers, without those that concern the connection
-     * @param body its body; released once it was written
+     * @param headers its headers, without hop-by-hop headers
+     * @param body its body; released after it is written
      */
     public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
         if (ended || answerStarted) {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Begins an answer whose length is not known.
+     * Starts a response of unknown length.
      *
      * @param status its status
-     * @param headers its headers, without those that concern the connection
+     * @param headers its headers, without hop-by-hop headers
      */
     public void begin(HttpResponseStatus status, HttpHeaders headers) {
         answerStarted = true;
@@ -74,7 +74,7 @@
         connection.writeWithoutFlush(response);
     }
 
-    /** Copies headers that were checked where they came in. */
+    /** Copies headers that were validated on arrival. */
     private static HttpHeaders copyOf(HttpHeaders headers) {
         return DefaultHttpHeadersFactory.headersFactory()
                 .withValidation(false)
@@ -82,7 +82,7 @@
                 .set(headers);
     }
 
-    /** Marks a response whose connection is closed after it. */
+    /** Sets the connection header of a response, and returns whether the connection closes after it. */
     private boolean closesAfter(HttpResponse response) {
         boolean close = !keepAlive || connection.closing();
         if (close) {
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Gives a piece of an answer that was begun.
+     * Sends a part of the body of a started response.
      *
-     * @param data the bytes; released once they were written
+     * @param data the bytes; released after they are written
      */
     public void data(ByteBuf data) {
         if (ended) {
@@ -104,7 +104,7 @@
         connection.write(new DefaultHttpContent(data));
     }
 
-    /** Ends an answer that was begun and is whole. */
+    /** Completes a started response. */
     public void complete() {
         if (ended) {
             return;
@@ -114,7 +114,7 @@
         connection.answered(!keepAlive || connection.closing());
     }
 
-    /** Ends an answer that is not whole, or gives none; the caller sees a connection that breaks. */
+    /** Aborts the connection instead of completing the response. */
     public void abort() {
         if (!ended) {
             ended = true;
@@ -122,33 +122,33 @@
         }
     }
 
-    /** Notes that the caller left. */
+    /** Records that the caller disconnected. */
     void callerDisconnected() {
         ended = true;
     }
 
     /**
-     * Tells whether an answer was begun.
+     * Returns whether a response was started.
      *
-     * @return whether status and headers were given
+     * @return whether status and headers were sent
      */
     public boolean answerStarted() {
         return answerStarted;
     }
 
     /**
-     * Tells whether nothing more can be given.
+     * Returns whether nothing more can be sent.
      *
-     * @return whether the answer is whole, broken off, or the caller left
+     * @return whether the response is complete or aborted, or the caller disconnected
      */
     public boolean ended() {
         return ended;
     }
 
     /**
-     * Tells whether the caller keeps up.
+     * Returns whether the caller reads fast enough.
      *
-     * @return {@code false} while much is written that the caller has not read
+     * @return {@code false} while the write buffer is above its high-water mark
      */
     public boolean writable() {
         return connection.writable();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerHandler.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerHandler.java
@@ -1,15 +1,15 @@
 package org.apricotstack.serving.http;
 
-/** Takes the requests of callers. */
+/** Handles requests of callers. */
 @FunctionalInterface
 public interface CallerHandler {
 
     /**
-     * Takes a request whose line and headers have come.
+     * Called with a request after its headers arrived.
      *
      * @param request the request
-     * @param exchange takes the answer, possibly at once
-     * @return takes what follows
+     * @param exchange sends the response, possibly at once
+     * @return receives the body and the state of the connection
      */
     CallerRequestListener open(CallerRequest request, CallerExchange exchange);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerProtocol.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerProtocol.java
@@ -2,16 +2,16 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 
-/** Knows the headers that callers send. */
+/** Parses the headers that callers send. */
 @FunctionalInterface
 public interface CallerProtocol {
 
     /**
-     * Reads a request's line and headers.
+     * Parses a request line and headers.
      *
-     * @param head the line and headers
+     * @param head the request line and headers
      * @return the request
-     * @throws BadRequestException if it is not proper
+     * @throws BadRequestException if the request is malformed
      */
     CallerRequest read(HttpRequest head);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRequest.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRequest.java
@@ -5,15 +5,15 @@
 /**
  * A request of a caller.
  *
- * @param id the caller's id of this attempt; passed on unchanged; empty if it has none
- * @param host host name that it is for
- * @param target path and query, as sent
- * @param apiKey the caller's key, or {@code null}
- * @param timeoutMillis how long the caller will wait, in milliseconds; {@link #NO_TIMEOUT} if it does not say
- * @param lastEventId last event of the stream that the caller has, or {@code null}
- * @param promptTokens tokens of the prompt; 0 if unknown
- * @param maxAnswerTokens tokens of the answer, at most; 0 if unknown
- * @param head the request line and headers, as sent
+ * @param id the caller's id of this attempt, forwarded unchanged; empty if there is none
+ * @param host host name that the request is for
+ * @param target path and query, as received
+ * @param apiKey the caller's API key, or {@code null}
+ * @param timeoutMillis how long the caller waits, in milliseconds; {@link #NO_TIMEOUT} if not specified
+ * @param lastEventId id of the last event that the caller has of the stream, or {@code null}
+ * @param promptTokens length of the prompt, in tokens; 0 if unknown
+ * @param maxAnswerTokens longest answer, in tokens; 0 if unknown
+ * @param head the request line and headers, as received
  */
 public record CallerRequest(
         String id,
@@ -26,6 +26,6 @@
         long maxAnswerTokens,
         HttpRequest head) {
 
-    /** Says that the caller sets no limit. */
+    /** The caller specifies no timeout. */
     public static final long NO_TIMEOUT = Long.MAX_VALUE / 4;
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRequestListener.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerRequestListener.java
@@ -2,19 +2,19 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** What is done for one request of a caller; called on the event loop. */
+/** Receives the body of a caller's request and the state of its connection; called on the event loop. */
 public interface CallerRequestListener {
 
     /**
-     * Takes the whole body; not called if the request was answered before it came.
+     * Receives the complete body; not called if a response was sent before it arrived.
      *
-     * @param body the body; the run owns it
+     * @param body the body; the listener releases it
      */
     void body(ByteBuf body);
 
-    /** Says that the caller left and no answer can reach it. */
+    /** Called when the caller disconnected, so that no response can reach it. */
     void disconnected();
 
-    /** Says that the caller reads again after it was too slow. */
+    /** Called when the write buffer has drained after it was full. */
     void writable();
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerServer.java
@@ -22,19 +22,25 @@
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.route.CallerLimits;
 
-/** Listens for callers. */
+/** HTTP server for callers. */
 public final class CallerServer implements AutoCloseable {
 
-    /** Longest queue of connections that were not accepted yet; when it is full, callers lose a second or more. */
+    /**
+     * Maximum of connections that wait to be accepted; while this backlog is full, a caller's connection attempt takes
+     * a second or more.
+     */
     private static final int BACKLOG = 1024;
 
-    /** Bytes that may wait for a slow caller before the upstream is not read further. */
+    /** Bytes that may be buffered for a slow caller before reading from the upstream pauses. */
     private static final int MAX_UNREAD_BYTES = 64 * 1024;
 
-    /** Time after which unacknowledged bytes end a connection, in milliseconds. */
+    /** Time after which a connection with unacknowledged bytes is closed, in milliseconds. */
     private static final int TCP_USER_TIMEOUT_MILLIS = 5_000;
 
-    /** Beyond the configured limit, so that the answer can say that the headers were too long. */
+    /**
+     * Bytes that the decoder accepts beyond the configured limit, so that the response can report that the headers were
+     * too long.
+     */
     private static final int HEADER_SLACK_BYTES = 1024;
 
     private final ServingLoop loop;
@@ -43,18 +49,18 @@
     private final Supplier<CallerLimits> limits;
     private final int maxConnections;
     private final Set<CallerConnection> connections = new HashSet<>();
-    private Channel listening;
+    private Channel listenChannel;
     private boolean stopping;
     private long malformed;
 
     /**
      * Creates a server that does not listen yet.
      *
-     * @param loop the thread
-     * @param protocol reads the requests
-     * @param handler answers them
-     * @param limits what callers may send, as configured now
-     * @param maxConnections connections at the most, so that descriptors do not run out
+     * @param loop the event loop
+     * @param protocol parses the requests
+     * @param handler handles the requests
+     * @param limits the configured limits for callers that are in force
+     * @param maxConnections maximum of open connections, so that file descriptors do not run out
      */
     public CallerServer(
             ServingLoop loop,
@@ -70,10 +76,10 @@
     }
 
     /**
-     * Listens.
+     * Starts to listen.
      *
-     * @param address where; port 0 lets the machine choose
-     * @return where it listens
+     * @param address the address; port 0 selects a free port
+     * @return the address with the actual port
      * @throws ApricotException with {@link ErrorCode#ENVIRONMENT} if the address cannot be used
      */
     public Address listen(Address address) {
@@ -97,18 +103,18 @@
             bootstrap.childOption(EpollChannelOption.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLIS);
         }
         try {
-            listening = bootstrap
+            listenChannel = bootstrap
                     .bind(new InetSocketAddress(address.ip(), address.port()))
                     .syncUninterruptibly()
                     .channel();
         } catch (RuntimeException e) {
             throw new ApricotException(
-                    ErrorCode.ENVIRONMENT, "Cannot listen on " + address + "; end the program that uses it.", e);
+                    ErrorCode.ENVIRONMENT, "Cannot listen on " + address + "; stop the program that uses it.", e);
         }
-        return new Address(address.ip(), ((InetSocketAddress) listening.localAddress()).getPort());
+        return new Address(address.ip(), ((InetSocketAddress) listenChannel.localAddress()).getPort());
     }
 
-    /** Takes a new connection. */
+    /** Sets up a new connection. */
     private void accept(Channel channel) {
         if (connections.size() >= maxConnections) {
             channel.close();
@@ -134,7 +140,7 @@
                         connection);
     }
 
-    /** Ends what callers take too long for. */
+    /** Closes connections whose timeout for receiving a request has passed. */
     public void closeTimedOut() {
         long now = loop.nowMillis();
         for (CallerConnection connection : List.copyOf(connections)) {
@@ -142,35 +148,35 @@
         }
     }
 
-    /** Lets each answer end its connection from now on. */
+    /** Closes each connection after its next response from now on. */
     public void beginStop() {
         stopping = true;
     }
 
-    /** Closes connections on which no request is due. */
+    /** Closes connections without a request in flight. */
     public void closeIdle() {
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Takes no new connections any more. */
+    /** Stops accepting connections. */
     public void stopListening() {
-        if (listening != null) {
-            listening.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
     }
 
-    /** Forgets a connection. */
+    /** Removes a closed connection. */
     void closed(CallerConnection connection) {
         connections.remove(connection);
     }
 
-    /** Counts a request that is not proper. */
+    /** Counts a malformed request. */
     void countMalformed() {
         malformed++;
     }
 
     /**
-     * Returns how many requests were not proper.
+     * Returns the number of malformed requests.
      *
      * @return requests since the start
      */
@@ -178,32 +184,32 @@
         return malformed;
     }
 
-    /** Tells whether answers end their connections. */
+    /** Returns whether connections are closed after their next response. */
     boolean stopping() {
         return stopping;
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits for callers. */
     CallerLimits limits() {
         return limits.get();
     }
 
-    /** Returns what reads requests. */
+    /** Returns the protocol that parses requests. */
     CallerProtocol protocol() {
         return protocol;
     }
 
-    /** Returns what answers requests. */
+    /** Returns the handler of requests. */
     CallerHandler handler() {
         return handler;
     }
 
-    /** Reads the clock. */
+    /** Returns the time of the loop's clock, in milliseconds. */
     long nowMillis() {
         return loop.nowMillis();
     }
 
-    /** Runs something later. */
+    /** Runs a task after a delay in milliseconds. */
     void schedule(long delayMillis, Runnable task) {
         loop.schedule(delayMillis, task);
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/DiscardingRequestListener.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/DiscardingRequestListener.java
@@ -2,9 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** The run of a request that was answered before its body came. */
+/** Listener for a request that got its response before its body arrived. */
 public enum DiscardingRequestListener implements CallerRequestListener {
-    /** Keeps nothing, so one serves all. */
+    /** The only instance, as the listener has no state. */
     INSTANCE;
 
     @Override
@@ -14,11 +14,11 @@
 
     @Override
     public void disconnected() {
-        // Nothing runs that could be ended.
+        // There is no run to end.
     }
 
     @Override
     public void writable() {
-        // Nothing is read that could go on.
+        // There is no response to resume.
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ForwardingParameters.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ForwardingParameters.java
@@ -6,14 +6,14 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 
 /**
- * What a request says to the upstream beside what the caller said.
+ * Parameters that are sent to an upstream in addition to the caller's request.
  *
- * @param upstream the upstream that is meant; another one at its address must refuse
- * @param remainingMillis time that is left, in milliseconds
- * @param account the client account, or {@code null} if the request needs none
- * @param priority rank among the upstream's requests; 0 is the most urgent
- * @param helpers upstreams that help to read the prompt
- * @param lastEventId event after which the stream goes on, or {@code null}
+ * @param upstream the intended upstream; another instance at its address must reject the request
+ * @param remainingMillis time until the deadline, in milliseconds
+ * @param account the client account, or {@code null} if none is required
+ * @param priority priority at the upstream; 0 is the most urgent
+ * @param helpers engines that prefill parts of the prompt
+ * @param lastEventId id of the event after which the stream resumes, or {@code null}
  */
 public record ForwardingParameters(
         UpstreamEntry upstream,
@@ -23,16 +23,16 @@
         List<Helper> helpers,
         String lastEventId) {
 
-    /** Copies the list. */
+    /** Copies the list of helpers. */
     public ForwardingParameters {
         helpers = List.copyOf(helpers);
     }
 
     /**
-     * An upstream that helps to read a prompt.
+     * An engine that prefills a part of a prompt.
      *
-     * @param upstream the upstream
-     * @param reservation names the memory reserved there, or {@code null} if none is
+     * @param upstream the engine
+     * @param reservation name of the memory reservation there, or {@code null} if there is none
      */
     public record Helper(UpstreamEntry upstream, String reservation) {}
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/HttpCalls.java
@@ -16,20 +16,20 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Small calls with whole answers, to the platform and to what upstreams offer beside their service. */
+/** HTTP calls with buffered responses, to the platform and to the control endpoints of upstreams. */
 public final class HttpCalls {
 
-    /** Reads only what HTTP itself says, as these answers echo no id and carry no seal. */
+    /** Parses only standard HTTP headers, as these responses have neither a request id nor a seal. */
     private static final UpstreamProtocol PLAIN = new PlainProtocol();
 
     private final ServingLoop loop;
     private final UpstreamConnections connections;
 
     /**
-     * Creates calls.
+     * Creates a client.
      *
-     * @param loop the thread
-     * @param connections carry them
+     * @param loop the event loop
+     * @param connections the connections to use
      */
     public HttpCalls(ServingLoop loop, UpstreamConnections connections) {
         this.loop = loop;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * A whole answer.
+     * A complete response.
      *
      * @param status HTTP status
      * @param headers the headers
@@ -46,29 +46,29 @@
     public record Response(int status, HttpHeaders headers, byte[] body) {}
 
     /**
-     * Makes a call when subscribed to.
+     * Creates a call that is sent on subscription.
      *
-     * @param address where to
-     * @param request line and headers
+     * @param address the address of the server
+     * @param request request line and headers
      * @param body the body
-     * @param timeoutMillis time for the whole answer, in milliseconds
-     * @param fresh whether a new connection is asked for
-     * @return the answer, or an {@link ApricotException}
+     * @param timeoutMillis time limit for the complete response, in milliseconds
+     * @param fresh whether a new connection is required
+     * @return the response, or an {@link ApricotException}
      */
     public Mono<Response> call(Address address, HttpRequest request, byte[] body, long timeoutMillis, boolean fresh) {
         return call(address, request, body, timeoutMillis, fresh, head -> {});
     }
 
     /**
-     * Makes a call when subscribed to.
+     * Creates a call that is sent on subscription.
      *
-     * @param address where to
-     * @param request line and headers
+     * @param address the address of the server
+     * @param request request line and headers
      * @param body the body
-     * @param timeoutMillis time for the whole answer, in milliseconds
-     * @param fresh whether a new connection is asked for
-     * @param onHead takes status and headers of the answer, whatever becomes of the rest
-     * @return the answer, or an {@link ApricotException}
+     * @param timeoutMillis time limit for the complete response, in milliseconds
+     * @param fresh whether a new connection is required
+     * @param onHead called with status and headers of the response, even if the rest fails
+     * @return the response, or an {@link ApricotException}
      */
     public Mono<Response> call(
             Address address,
@@ -92,13 +92,13 @@
         });
     }
 
-    /** Creates the error of a call that failed. */
+    /** Creates the exception for a failed call. */
     private static ApricotException failure(Address address, String what) {
         return new ApricotException(
-                ErrorCode.PLATFORM_PROTOCOL, address + " " + what + "; the call is made again by itself.");
+                ErrorCode.PLATFORM_PROTOCOL, address + " " + what + "; the call is retried automatically.");
     }
 
-    /** Collects an answer. */
+    /** Collects a response. */
     private static final class ResponseCollector implements UpstreamListener {
         private final MonoSink<Response> sink;
         private final Address address;
@@ -108,7 +108,7 @@
         private HttpHeaders headers;
         private ScheduledFuture<?> timeout;
 
-        /** Creates a taker. */
+        /** Creates a collector. */
         private ResponseCollector(MonoSink<Response> sink, Address address, Consumer<HttpResponse> onHead) {
             this.sink = sink;
             this.address = address;
@@ -139,7 +139,7 @@
             sink.error(failure(address, "failed: " + kind.code()));
         }
 
-        /** Expects nothing more. */
+        /** Cancels the timeout. */
         private void stopTimeout() {
             if (timeout != null) {
                 timeout.cancel(false);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/PlainProtocol.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/PlainProtocol.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import org.apricotstack.core.notice.UpstreamNotice;
 
-/** Reads of an answer what HTTP itself says. */
+/** Parses the standard HTTP headers of a response. */
 public final class PlainProtocol implements UpstreamProtocol {
 
     private static final String TIMEOUT_PARAMETER = "timeout=";
@@ -16,7 +16,8 @@
 
     @Override
     public HttpRequest write(CallerRequest request, int bodyBytes, ForwardingParameters forwarding) {
-        throw new UnsupportedOperationException("Requests of callers are written by the platform's protocol.");
+        throw new UnsupportedOperationException(
+                "This protocol only parses responses; use the platform's protocol to encode requests.");
     }
 
     @Override
@@ -36,10 +37,10 @@
     }
 
     /**
-     * Reads for how long the sender keeps the connection.
+     * Returns how long the server keeps an idle connection open.
      *
-     * @param headers the headers of an answer
-     * @return milliseconds; 0 if it does not say
+     * @param headers the headers of a response
+     * @return milliseconds; 0 if not specified
      */
     public static long keepAliveMillis(HttpHeaders headers) {
         String value = headers.get("Keep-Alive");
@@ -56,10 +57,10 @@
     }
 
     /**
-     * Tells whether a header concerns one connection only and is not passed on.
+     * Returns whether a header is hop-by-hop, so that it must not be forwarded.
      *
      * @param name the header's name
-     * @return whether it stays behind
+     * @return whether the header is removed
      */
     public static boolean isHopByHop(CharSequence name) {
         return HttpHeaderNames.CONNECTION.contentEqualsIgnoreCase(name)
@@ -74,10 +75,10 @@
     }
 
     /**
-     * Copies an upstream's headers without those that concern its connection.
+     * Copies an upstream's headers without the hop-by-hop headers.
      *
-     * @param headers the headers as they came
-     * @return the headers that a caller gets
+     * @param headers the headers as received
+     * @return the headers for the caller
      */
     public static HttpHeaders withoutHopByHop(HttpHeaders headers) {
         HttpHeaders copy =
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ResponseHead.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ResponseHead.java
@@ -3,19 +3,19 @@
 import org.apricotstack.core.notice.UpstreamNotice;
 
 /**
- * What the beginning of an upstream's answer says.
+ * Head of an upstream's response.
  *
  * @param status HTTP status
- * @param requestId id of the request that it answers, or {@code null}
- * @param sealed whether it carries the upstream's seal
- * @param notRun whether the upstream says that it has not run the request and will not
- * @param wrongInstance whether another upstream than the one that was meant answered
- * @param contentEncoded whether the body is not as the upstream made it
- * @param eventStream whether the body is a series of events
- * @param faultyHelperAddress address of the helper at fault, as {@code IP:PORT}, or {@code null}
- * @param closesConnection whether the connection cannot be used again
- * @param notice what it says of the upstream itself
- * @param keepAliveMillis time for which the upstream keeps the connection, in milliseconds; 0 if it does not say
+ * @param requestId id of the request that it belongs to, or {@code null}
+ * @param sealed whether the response carries the upstream's seal
+ * @param notRun whether the upstream states that it has not run the request and will not run it
+ * @param wrongInstance whether another instance than the intended one responded
+ * @param contentEncoded whether an intermediary may have changed the body, as it has a content encoding
+ * @param eventStream whether the body is an event stream
+ * @param faultyHelperAddress address of the faulty helper, as {@code IP:PORT}, or {@code null}
+ * @param closesConnection whether the connection cannot be reused
+ * @param notice limit, drain and back-off that the upstream advertises
+ * @param keepAliveMillis time for which the upstream keeps the connection open, in milliseconds; 0 if not specified
  */
 public record ResponseHead(
         int status,
@@ -34,7 +34,7 @@
     private static final int FIRST_REDIRECT = 300;
 
     /**
-     * Tells whether it is a success.
+     * Returns whether the request succeeded.
      *
      * @return whether the status is 2xx
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ServingLoop.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/ServingLoop.java
@@ -20,7 +20,7 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * The one thread on which a router works; state that only this thread touches needs no locks.
+ * The event loop of a router. Its only thread does all work, so that state that only this thread uses needs no locks.
  *
  * <p>Hosts have less than one core, so a second thread would gain nothing.
  */
@@ -31,9 +31,9 @@
     private final MonotonicClock clock;
 
     /**
-     * Starts the thread.
+     * Starts the event loop.
      *
-     * @param clock the clock that everything on the loop reads
+     * @param clock the clock of all code on the loop
      */
     public ServingLoop(MonotonicClock clock) {
         this.clock = clock;
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Reads the clock.
+     * Returns the time of the clock.
      *
      * @return milliseconds since an arbitrary start
      */
@@ -51,37 +51,37 @@
     }
 
     /**
-     * Runs something on the thread.
+     * Runs a task on the loop.
      *
-     * @param task what to run
+     * @param task the task
      */
     public void execute(Runnable task) {
         loop().execute(task);
     }
 
     /**
-     * Runs something on the thread later.
+     * Runs a task on the loop after a delay.
      *
      * @param delayMillis the delay, in milliseconds
-     * @param task what to run
-     * @return cancels it
+     * @param task the task
+     * @return a handle to cancel the task
      */
     public ScheduledFuture<?> schedule(long delayMillis, Runnable task) {
         return loop().schedule(task, Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Runs something on the thread again and again.
+     * Runs a task on the loop repeatedly.
      *
-     * @param periodMillis time between two runs, in milliseconds
-     * @param task what to run
+     * @param periodMillis delay between the end of a run and the start of the next, in milliseconds
+     * @param task the task
      */
     public void scheduleWithFixedDelay(long periodMillis, Runnable task) {
         loop().scheduleWithFixedDelay(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Returns the thread's event loop.
+     * Returns the Netty event loop.
      *
      * @return the only loop of the group
      */
@@ -90,16 +90,16 @@
     }
 
     /**
-     * Returns the group that holds the thread.
+     * Returns the Netty event loop group.
      *
-     * @return a group of one
+     * @return a group with one thread
      */
     public EventLoopGroup group() {
         return group;
     }
 
     /**
-     * Returns the type of outgoing connections.
+     * Returns the channel type for outgoing connections.
      *
      * @return a channel type that fits the group
      */
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Returns the type of listening sockets.
+     * Returns the channel type for listening sockets.
      *
      * @return a channel type that fits the group
      */
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Returns the type of datagram sockets.
+     * Returns the channel type for datagram sockets.
      *
      * @return a channel type that fits the group
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/StrictRequestDecoder.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/StrictRequestDecoder.java
@@ -5,10 +5,11 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests and refuses those whose length is said twice.
+ * Decodes requests, and rejects those with two contradicting lengths.
  *
- * <p>A request with both a length and chunks is read differently by different programs; what one takes for the rest
- * of its body, another takes for a second request. Passing it on would let a caller hide a request inside another.
+ * <p>Servers disagree about a request with both a Content-Length and chunks: what one takes for the rest of the body,
+ * another takes for a second request. If such a request were forwarded, a caller could smuggle a request inside
+ * another.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
@@ -19,6 +20,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("Both Content-Length and Transfer-Encoding; send one of them.");
+        throw new IllegalArgumentException(
+                "The request has both Content-Length and Transfer-Encoding; send only one of them.");
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamCall.java
@@ -6,7 +6,7 @@
 import io.netty.util.ReferenceCountUtil;
 import org.apricotstack.core.upstream.FailureKind;
 
-/** One request on its way to an upstream, from the choice of a connection to the end of the answer. */
+/** A request to an upstream, from the choice of a connection to the end of the response. */
 public final class UpstreamCall {
 
     private final UpstreamProtocol protocol;
@@ -18,7 +18,7 @@
     private UpstreamConnection connection;
     private boolean finished;
 
-    /** Creates a call that was not sent yet. */
+    /** Creates a call that has not been sent. */
     UpstreamCall(
             UpstreamProtocol protocol, String requestId, HttpRequest head, ByteBuf body, UpstreamListener listener) {
         this.protocol = protocol;
@@ -28,49 +28,49 @@
         this.listener = listener;
     }
 
-    /** Notes the connection that is being opened. */
+    /** Sets the connection that is being opened. */
     void connecting(ChannelFuture future) {
         connecting = future;
     }
 
-    /** Notes the connection that carries the call. */
+    /** Sets the connection that carries the call. */
     void attachTo(UpstreamConnection carrier) {
         connection = carrier;
     }
 
-    /** Hands the body over to be sent. */
+    /** Transfers the ownership of the body to the connection. */
     ByteBuf takeBody() {
         ByteBuf taken = body;
         body = null;
         return taken;
     }
 
-    /** Returns line and headers. */
+    /** Returns request line and headers. */
     HttpRequest head() {
         return head;
     }
 
-    /** Returns what reads the answer. */
+    /** Returns the protocol that parses the response. */
     UpstreamProtocol protocol() {
         return protocol;
     }
 
-    /** Tells whether an answer belongs to this call. */
+    /** Returns whether a response belongs to this call. */
     boolean isAnsweredBy(ResponseHead answer) {
         return requestId == null || answer.requestId() == null || requestId.equals(answer.requestId());
     }
 
-    /** Returns who takes the answer. */
+    /** Returns the listener for the response. */
     UpstreamListener listener() {
         return listener;
     }
 
-    /** Tells whether nothing more is to be told. */
+    /** Returns whether the call has ended, so that its listener is not called any more. */
     boolean finished() {
         return finished;
     }
 
-    /** Ends the call with a whole answer. */
+    /** Ends the call with a complete response. */
     void succeed() {
         if (!finished) {
             finished = true;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Ends the call without a whole answer. */
+    /** Ends the call without a complete response. */
     void fail(FailureKind kind) {
         if (!finished) {
             finished = true;
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Ends the call; the listener hears nothing more. The upstream notices that its connection is closed. */
+    /** Cancels the call without notifying the listener. The upstream detects that its connection is closed. */
     public void cancel() {
         if (finished) {
             return;
@@ -101,13 +101,13 @@
         }
     }
 
-    /** Takes the body if it was not sent yet. */
+    /** Takes the body if it was not sent, else returns {@code null}. */
     private ByteBuf takeUnsentBody() {
         return body == null ? null : takeBody();
     }
 
     /**
-     * Stops or resumes reading the answer, for a caller that reads slowly.
+     * Pauses or resumes reading the response, for a caller that reads slowly.
      *
      * @param reading whether to read
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
@@ -15,15 +15,15 @@
 import org.apricotstack.core.upstream.FailureKind;
 
 /**
- * One connection to an upstream; carries one request at a time.
+ * A connection to an upstream, for one request at a time.
  *
- * <p>What goes wrong: an answer to an earlier request comes where the next one is due, bytes follow a whole answer, an
- * answer without a length ends with a reset. The echoed id tells a foreign answer apart, which is skipped; after
- * anything odd the connection is never used again.
+ * <p>A response to an earlier request may arrive late, bytes may follow a complete response, and a response without a
+ * length may end with a reset. The echoed request id identifies a late response, which is skipped. After any of these
+ * the connection is not reused.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
 
-    private final UpstreamConnections owner;
+    private final UpstreamConnections pool;
     private final Address address;
     private ChannelHandlerContext context;
     private UpstreamCall call;
@@ -33,12 +33,12 @@
     private boolean framed;
     private boolean notReusable;
     private boolean broken;
-    private ChannelFuture written;
-    private long keepUntilMillis;
+    private ChannelFuture writeFuture;
+    private long reusableUntilMillis;
 
     /** Creates a connection that is being opened. */
-    UpstreamConnection(UpstreamConnections owner, Address address) {
-        this.owner = owner;
+    UpstreamConnection(UpstreamConnections pool, Address address) {
+        this.pool = pool;
         this.address = address;
     }
 
@@ -47,19 +47,19 @@
         context = ctx;
     }
 
-    /** Returns where it leads. */
+    /** Returns the address of the upstream. */
     Address address() {
         return address;
     }
 
-    /** Notes until when it may be used again. */
-    void keepUntil(long millis) {
-        keepUntilMillis = millis;
+    /** Sets the time until which the idle connection may be reused. */
+    void reusableUntil(long millis) {
+        reusableUntilMillis = millis;
     }
 
-    /** Tells whether a request may be sent. */
+    /** Returns whether the connection may be reused for a request. */
     boolean usable(long nowMillis) {
-        return context.channel().isActive() && !notReusable && call == null && nowMillis < keepUntilMillis;
+        return context.channel().isActive() && !notReusable && call == null && nowMillis < reusableUntilMillis;
     }
 
     /** Sends a request. */
@@ -69,8 +69,8 @@
         skippingLateResponse = false;
         next.attachTo(this);
         context.write(next.head());
-        written = context.writeAndFlush(new DefaultLastHttpContent(next.takeBody()));
-        written.addListener(done -> {
+        writeFuture = context.writeAndFlush(new DefaultLastHttpContent(next.takeBody()));
+        writeFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 broken = true;
                 context.close();
@@ -78,7 +78,7 @@
         });
     }
 
-    /** Stops or resumes reading. */
+    /** Pauses or resumes reading. */
     void read(boolean reading) {
         context.channel().config().setAutoRead(reading);
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Takes the beginning of an answer. */
+    /** Processes the head of a response. */
     private void head(HttpResponse head) {
         if (head.decoderResult().isFailure() || call == null) {
             failAsSpoiled();
@@ -126,7 +126,7 @@
         call.listener().head(read, head);
     }
 
-    /** Takes a piece of a body. */
+    /** Processes a chunk of a response body. */
     private void content(HttpContent content) {
         if (content.decoderResult().isFailure()) {
             failAsSpoiled();
@@ -155,29 +155,29 @@
         }
     }
 
-    /** Ends the call with a whole answer and keeps the connection if it is good. */
+    /** Ends the call with a complete response, and keeps the connection if it can be reused. */
     private void finish() {
         UpstreamCall ended = call;
         call = null;
         boolean keep = !notReusable
-                && written.isDone()
-                && written.isSuccess()
+                && writeFuture.isDone()
+                && writeFuture.isSuccess()
                 && context.channel().isActive();
         if (keep && !ended.finished()) {
             context.channel().config().setAutoRead(true);
-            owner.keep(this, answer.keepAliveMillis());
+            pool.addIdle(this, answer.keepAliveMillis());
         } else {
             close();
         }
         ended.succeed();
     }
 
-    /** Ends everything after bytes that do not belong here. */
+    /** Fails the call and closes the connection after unexpected or malformed bytes. */
     private void failAsSpoiled() {
         fail(FailureKind.SPOILED);
     }
 
-    /** Ends the call without a whole answer and closes. */
+    /** Closes the connection and ends the call without a complete response. */
     private void fail(FailureKind kind) {
         close();
         UpstreamCall ended = call;
@@ -190,7 +190,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         notReusable = true;
-        owner.forget(this);
+        pool.removeIdle(this);
         if (call != null) {
             fail(answer == null ? FailureKind.RESET : FailureKind.CUT);
         }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnections.java
@@ -29,32 +29,38 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Connections to upstreams and to the platform, kept open between requests.
+ * Pool of connections to upstreams and to the platform.
  *
- * <p>A kept connection can be dead without anyone having said so. Requests that must not run twice therefore ask for a
- * new one: if a kept one were reset, nobody could tell whether the request ran.
+ * <p>An idle connection may be broken without a sign of it. Non-idempotent requests therefore require a new connection:
+ * if an idle one were reset, it would be unknown whether the request ran.
  */
 public final class UpstreamConnections {
 
-    /** Time to connect, in milliseconds; data centres are a few milliseconds apart, a lost packet costs a second. */
+    /**
+     * Connect timeout, in milliseconds. Data centres are a few milliseconds apart; the retransmission of a lost packet
+     * takes a second.
+     */
     private static final int CONNECT_TIMEOUT_MILLIS = 450;
 
     /**
-     * Time in which a host whose process has ended refuses a connection, in milliseconds; one that does not answer so
-     * soon is cut off or without power.
+     * Time within which a host refuses a connection if the process has exited, in milliseconds; a host that takes
+     * longer is unreachable or without power.
      */
     private static final int REFUSAL_TIMEOUT_MILLIS = 60;
 
-    /** Time after which unacknowledged bytes end a connection, in milliseconds. */
+    /** Time after which a connection with unacknowledged bytes is closed, in milliseconds. */
     private static final int TCP_USER_TIMEOUT_MILLIS = 3_000;
 
-    /** Time for which a connection is kept if the upstream does not say, in milliseconds. */
+    /** Time for which an idle connection is kept if the upstream does not specify one, in milliseconds. */
     private static final long DEFAULT_IDLE_MILLIS = 4_000;
 
-    /** Taken off the time that the upstream says, in milliseconds, so that it does not close what is just used. */
+    /**
+     * Margin subtracted from the upstream's keep-alive time, in milliseconds, so that the upstream does not close a
+     * connection while a request is being sent on it.
+     */
     private static final long IDLE_MARGIN_MILLIS = 600;
 
-    /** Longest status line and header of an answer, in bytes. */
+    /** Maximum size of a status line and headers, in bytes. */
     private static final int HEADER_BYTES = 32 * 1024;
 
     private final ServingLoop loop;
@@ -63,9 +69,9 @@
     private long opened;
 
     /**
-     * Creates the connections.
+     * Creates an empty pool.
      *
-     * @param loop the thread
+     * @param loop the event loop
      */
     public UpstreamConnections(ServingLoop loop) {
         this.loop = loop;
@@ -83,14 +89,14 @@
     /**
      * Sends a request.
      *
-     * @param address where to
-     * @param protocol reads the answer
-     * @param requestId id that the answer must echo, or {@code null} if answers have none
-     * @param head line and headers
-     * @param body the body; released once it was sent
-     * @param fresh whether a new connection is asked for
-     * @param listener takes the answer
-     * @return ends the request
+     * @param address the address of the server
+     * @param protocol parses the response
+     * @param requestId id that the response must echo, or {@code null} if responses have none
+     * @param head request line and headers
+     * @param body the body; released after it is sent
+     * @param fresh whether a new connection is required
+     * @param listener receives the response
+     * @return a handle to cancel the request
      */
     public UpstreamCall send(
             Address address,
@@ -101,20 +107,20 @@
             boolean fresh,
             UpstreamListener listener) {
         UpstreamCall call = new UpstreamCall(protocol, requestId, head, body, listener);
-        UpstreamConnection kept = fresh ? null : takeIdle(address);
-        if (kept == null) {
+        UpstreamConnection idleConnection = fresh ? null : takeIdle(address);
+        if (idleConnection == null) {
             connect(address, call);
         } else {
-            kept.start(call);
+            idleConnection.start(call);
         }
         return call;
     }
 
-    /** Takes a kept connection that is still good. */
+    /** Returns an idle connection that may be reused, or {@code null}. */
     private UpstreamConnection takeIdle(Address address) {
-        Deque<UpstreamConnection> kept = idle.get(address);
-        while (kept != null && !kept.isEmpty()) {
-            UpstreamConnection connection = kept.pollLast();
+        Deque<UpstreamConnection> idleConnections = idle.get(address);
+        while (idleConnections != null && !idleConnections.isEmpty()) {
+            UpstreamConnection connection = idleConnections.pollLast();
             if (connection.usable(loop.nowMillis())) {
                 return connection;
             }
@@ -156,10 +162,10 @@
     }
 
     /**
-     * Asks whether a process still listens at an address: one that has ended refuses a new connection at once.
+     * Checks whether a process listens at an address; the host of an exited process refuses a new connection at once.
      *
      * @param address the address
-     * @return whether a connection was refused; {@code false} if it was made, or if nobody answered
+     * @return whether the connection was refused; {@code false} if it was accepted or the attempt timed out
      */
     public Mono<Boolean> isConnectionRefused(Address address) {
         return Mono.create(result -> {
@@ -176,49 +182,52 @@
         });
     }
 
-    /** Tells whether a host said that nobody listens there; any other failure says nothing of the process. */
+    /**
+     * Returns whether a host reported that no process listens there; any other failure does not show whether the
+     * process runs.
+     */
     private static boolean isRefusal(Throwable failure) {
         return !(failure instanceof ConnectTimeoutException) && !(failure instanceof NoRouteToHostException);
     }
 
-    /** Keeps a connection for the next request. */
-    void keep(UpstreamConnection connection, long keepAliveMillis) {
-        long kept = keepAliveMillis > 0 ? Math.max(0, keepAliveMillis - IDLE_MARGIN_MILLIS) : DEFAULT_IDLE_MILLIS;
-        connection.keepUntil(loop.nowMillis() + kept);
+    /** Adds an idle connection to the pool. */
+    void addIdle(UpstreamConnection connection, long keepAliveMillis) {
+        long idleMillis = keepAliveMillis > 0 ? Math.max(0, keepAliveMillis - IDLE_MARGIN_MILLIS) : DEFAULT_IDLE_MILLIS;
+        connection.reusableUntil(loop.nowMillis() + idleMillis);
         idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
-    /** Forgets a connection that ended while it was kept. */
-    void forget(UpstreamConnection connection) {
-        Deque<UpstreamConnection> kept = idle.get(connection.address());
-        if (kept != null) {
-            kept.remove(connection);
-            if (kept.isEmpty()) {
+    /** Removes a connection that was closed while it was idle. */
+    void removeIdle(UpstreamConnection connection) {
+        Deque<UpstreamConnection> idleConnections = idle.get(connection.address());
+        if (idleConnections != null) {
+            idleConnections.remove(connection);
+            if (idleConnections.isEmpty()) {
                 idle.remove(connection.address());
             }
         }
     }
 
     /**
-     * Closes the kept connections to an address, as the process that they led to is over: a request sent on one would
-     * be reset and count as an attempt.
+     * Closes the idle connections to an address whose process no longer runs; a request sent on one would be reset and
+     * count as an attempt.
      *
      * @param address the address
      */
     public void closeIdleTo(Address address) {
-        Deque<UpstreamConnection> kept = idle.remove(address);
-        if (kept != null) {
-            List.copyOf(kept).forEach(UpstreamConnection::close);
+        Deque<UpstreamConnection> idleConnections = idle.remove(address);
+        if (idleConnections != null) {
+            List.copyOf(idleConnections).forEach(UpstreamConnection::close);
         }
     }
 
-    /** Closes connections that were kept long enough. */
+    /** Closes idle connections whose keep-alive time has passed. */
     public void closeExpired() {
         long now = loop.nowMillis();
         List<UpstreamConnection> expired = new ArrayList<>();
-        for (Deque<UpstreamConnection> kept : idle.values()) {
-            for (UpstreamConnection connection : kept) {
+        for (Deque<UpstreamConnection> idleConnections : idle.values()) {
+            for (UpstreamConnection connection : idleConnections) {
                 if (!connection.usable(now)) {
                     expired.add(connection);
                 }
@@ -228,7 +237,7 @@
     }
 
     /**
-     * Returns how many connections were opened.
+     * Returns the number of opened connections.
      *
      * @return connections since the start
      */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamListener.java
@@ -4,47 +4,47 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.apricotstack.core.upstream.FailureKind;
 
-/** Takes what an upstream answers to one request; called on the event loop. Nothing comes after an end or a failure. */
+/** Receives the response to one request; called on the event loop, and not after {@link #end} or {@link #failed}. */
 public interface UpstreamListener {
 
     /**
-     * Tells whether the request may still be sent, now that a new connection is open; opening it can take a while.
+     * Returns whether the request may still be sent after a new connection was opened, which may take a while.
      *
-     * @return {@code false} to give it back unsent, as withheld
+     * @return {@code false} to fail the call as withheld without sending the request
      */
     default boolean mayBeSent() {
         return true;
     }
 
     /**
-     * Takes the beginning of the answer.
+     * Called with the head of the response.
      *
-     * @param head what it says
-     * @param raw status and headers as sent
+     * @param head the parsed head
+     * @param raw status and headers as received
      */
     void head(ResponseHead head, HttpResponse raw);
 
     /**
-     * Takes the beginning of an answer to an earlier request, which came late over the same connection and is skipped.
+     * Called with the head of a late response to an earlier request on the same connection, which is skipped.
      *
-     * @param head what it says
+     * @param head the parsed head
      */
     default void lateResponse(ResponseHead head) {}
 
     /**
-     * Takes a piece of the body.
+     * Called with a chunk of the body.
      *
-     * @param data the bytes; the listener does not keep them without retaining
+     * @param data the bytes; to be retained if they are used after the call
      */
     void data(ByteBuf data);
 
-    /** Says that the whole body came. */
+    /** Called when the response is complete. */
     void end();
 
     /**
-     * Says that no whole answer will come.
+     * Called when the response cannot be completed.
      *
-     * @param kind what went wrong
+     * @param kind the kind of failure
      */
     void failed(FailureKind kind);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamProtocol.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamProtocol.java
@@ -3,24 +3,24 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Knows the headers that upstreams read and write. */
+/** Encodes requests for upstreams and parses their responses. */
 public interface UpstreamProtocol {
 
     /**
-     * Writes the line and headers of a request as its upstream reads them.
+     * Encodes the request line and headers of a request for its upstream.
      *
      * @param request the caller's request
-     * @param bodyBytes length of its body, in bytes
-     * @param forwarding what is said beside it
-     * @return line and headers
+     * @param bodyBytes length of the request's body, in bytes
+     * @param forwarding additional parameters for the upstream
+     * @return request line and headers
      */
     HttpRequest write(CallerRequest request, int bodyBytes, ForwardingParameters forwarding);
 
     /**
-     * Reads the beginning of an answer.
+     * Parses the head of a response.
      *
      * @param head status and headers
-     * @return what they say
+     * @return the parsed head
      */
     ResponseHead read(HttpResponse head);
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/package-info.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * HTTP towards callers and upstreams.
+ * HTTP server for callers and HTTP client for upstreams.
  *
- * <p>It uses Netty's codecs directly: an answer that nobody waits for, the exact end of a body and the difference
- * between a closed and a reset connection decide here, and a client library hides them.
+ * <p>Uses Netty's codecs directly, because client libraries hide what matters here: late responses, the exact end of a
+ * body, and the difference between a closed and a reset connection.
  */
 package org.apricotstack.serving.http;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/http/WithheldRequestTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/http/WithheldRequestTest.java
@@ -20,7 +20,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** A request whose upstream says that it wants none, while the connection to it is being opened. */
+/** Tests a request whose upstream becomes unavailable while the connection to it is being opened. */
 class WithheldRequestTest {
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
@@ -30,8 +30,8 @@
         loop.close();
     }
 
-    /** Takes only the failure of a request that may not be sent. */
-    private static final class Unsent implements UpstreamListener {
+    /** Rejects sending, and expects only the resulting failure. */
+    private static final class RejectingListener implements UpstreamListener {
         private final CompletableFuture<FailureKind> failure = new CompletableFuture<>();
 
         @Override
@@ -41,20 +41,20 @@
 
         @Override
         public void head(ResponseHead head, HttpResponse raw) {
-            answered();
+            failOnResponse();
         }
 
         @Override
         public void data(ByteBuf data) {
-            answered();
+            failOnResponse();
         }
 
         @Override
         public void end() {
-            answered();
+            failOnResponse();
         }
 
-        private void answered() {
+        private void failOnResponse() {
             failure.completeExceptionally(new AssertionError("No answer is expected."));
         }
 
@@ -65,15 +65,15 @@
     }
 
     @Test
-    void sendsNothingOverAConnectionThatWasOpenedTooLate() throws IOException {
-        try (ServerSocket listening = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Address address = new Address("127.0.0.1", listening.getLocalPort());
+    void sendsNothingIfTheUpstreamBecomesUnavailableWhileConnecting() throws IOException {
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            Address address = new Address("127.0.0.1", serverSocket.getLocalPort());
             UpstreamConnections connections = new UpstreamConnections(loop);
             HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-            Unsent listener = new Unsent();
+            RejectingListener listener = new RejectingListener();
             loop.execute(() ->
                     connections.send(address, new PlainProtocol(), null, head, Unpooled.EMPTY_BUFFER, false, listener));
-            try (Socket socket = listening.accept()) {
+            try (Socket socket = serverSocket.accept()) {
                 assertThat(socket.getInputStream().read()).isEqualTo(-1);
             }
             assertThat(listener.failure.join()).isEqualTo(FailureKind.WITHHELD);
