--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/UpstreamConnection.java
@@ -15,30 +15,30 @@
 import org.apricotstack.core.upstream.FailureKind;
 
 /**
- * One connection to an upstream; carries one request at a time.
+ * A connection to an upstream, for one request at a time.
  *
- * <p>What goes wrong: an answer to an earlier request comes where the next one is due, bytes follow a whole answer, an
- * answer without a length ends with a reset. The echoed id tells a foreign answer apart, which is skipped; after
- * anything odd the connection is never used again.
+ * <p>A response to an earlier request may arrive late, bytes may follow a complete response, and a response without a
+ * length may end with a reset. The echoed request id identifies a late response, which is skipped. After any of these
+ * the connection is not reused.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
 
-    private final UpstreamConnections owner;
+    private final UpstreamConnections pool;
     private final Address address;
     private ChannelHandlerContext context;
     private UpstreamCall call;
     private ResponseHead answer;
-    private boolean skipping;
+    private boolean skippingLateResponse;
     private boolean informational;
     private boolean framed;
-    private boolean tainted;
+    private boolean notReusable;
     private boolean broken;
-    private ChannelFuture written;
-    private long keepUntilMillis;
+    private ChannelFuture writeFuture;
+    private long reusableUntilMillis;
 
     /** Creates a connection that is being opened. */
-    UpstreamConnection(UpstreamConnections owner, Address address) {
-        this.owner = owner;
+    UpstreamConnection(UpstreamConnections pool, Address address) {
+        this.pool = pool;
         this.address = address;
     }
 
@@ -47,30 +47,30 @@
         context = ctx;
     }
 
-    /** Returns where it leads. */
+    /** Returns the address of the upstream. */
     Address address() {
         return address;
     }
 
-    /** Notes until when it may be used again. */
-    void keepUntil(long millis) {
-        keepUntilMillis = millis;
+    /** Sets the time until which the idle connection may be reused. */
+    void reusableUntil(long millis) {
+        reusableUntilMillis = millis;
     }
 
-    /** Tells whether a request may be sent. */
+    /** Returns whether the connection may be reused for a request. */
     boolean usable(long nowMillis) {
-        return context.channel().isActive() && !tainted && call == null && nowMillis < keepUntilMillis;
+        return context.channel().isActive() && !notReusable && call == null && nowMillis < reusableUntilMillis;
     }
 
     /** Sends a request. */
     void start(UpstreamCall next) {
         call = next;
         answer = null;
-        skipping = false;
-        next.carriedBy(this);
+        skippingLateResponse = false;
+        next.attachTo(this);
         context.write(next.head());
-        written = context.writeAndFlush(new DefaultLastHttpContent(next.takeBody()));
-        written.addListener(done -> {
+        writeFuture = context.writeAndFlush(new DefaultLastHttpContent(next.takeBody()));
+        writeFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 broken = true;
                 context.close();
@@ -78,14 +78,14 @@
         });
     }
 
-    /** Stops or resumes reading. */
+    /** Pauses or resumes reading. */
     void read(boolean reading) {
         context.channel().config().setAutoRead(reading);
     }
 
     /** Closes the connection. */
     void close() {
-        tainted = true;
+        notReusable = true;
         context.close();
     }
 
@@ -103,10 +103,10 @@
         }
     }
 
-    /** Takes the beginning of an answer. */
+    /** Processes the head of a response. */
     private void head(HttpResponse head) {
         if (head.decoderResult().isFailure() || call == null) {
-            poison();
+            failAsSpoiled();
             return;
         }
         informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
@@ -114,36 +114,36 @@
             return;
         }
         ResponseHead read = call.protocol().read(head);
-        skipping = !call.isAnsweredBy(read);
+        skippingLateResponse = !call.isAnsweredBy(read);
         framed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
-        if (skipping) {
-            tainted = true;
-            call.listener().late(read);
+        if (skippingLateResponse) {
+            notReusable = true;
+            call.listener().lateResponse(read);
             return;
         }
         answer = read;
-        tainted |= read.closes() || !framed;
+        notReusable |= read.closesConnection() || !framed;
         call.listener().head(read, head);
     }
 
-    /** Takes a piece of a body. */
+    /** Processes a chunk of a response body. */
     private void content(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            poison();
+            failAsSpoiled();
             return;
         }
         boolean last = content instanceof LastHttpContent;
-        if (informational || skipping) {
+        if (informational || skippingLateResponse) {
             informational &= !last;
-            skipping &= !last;
+            skippingLateResponse &= !last;
             return;
         }
         if (call == null || answer == null) {
-            poison();
+            failAsSpoiled();
             return;
         }
         ByteBuf data = content.content();
-        if (data.isReadable() && !call.over()) {
+        if (data.isReadable() && !call.finished()) {
             call.listener().data(data);
         }
         if (last && call != null) {
@@ -155,29 +155,29 @@
         }
     }
 
-    /** Ends the call with a whole answer and keeps the connection if it is good. */
+    /** Ends the call with a complete response, and keeps the connection if it can be reused. */
     private void finish() {
         UpstreamCall ended = call;
         call = null;
-        boolean keep = !tainted
-                && written.isDone()
-                && written.isSuccess()
+        boolean keep = !notReusable
+                && writeFuture.isDone()
+                && writeFuture.isSuccess()
                 && context.channel().isActive();
-        if (keep && !ended.over()) {
+        if (keep && !ended.finished()) {
             context.channel().config().setAutoRead(true);
-            owner.keep(this, answer.idleMillis());
+            pool.addIdle(this, answer.keepAliveMillis());
         } else {
             close();
         }
         ended.succeed();
     }
 
-    /** Ends everything after bytes that do not belong here. */
-    private void poison() {
+    /** Fails the call and closes the connection after unexpected or malformed bytes. */
+    private void failAsSpoiled() {
         fail(FailureKind.SPOILED);
     }
 
-    /** Ends the call without a whole answer and closes. */
+    /** Closes the connection and ends the call without a complete response. */
     private void fail(FailureKind kind) {
         close();
         UpstreamCall ended = call;
@@ -189,8 +189,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        tainted = true;
-        owner.forget(this);
+        notReusable = true;
+        pool.removeIdle(this);
         if (call != null) {
             fail(answer == null ? FailureKind.RESET : FailureKind.CUT);
         }
@@ -199,6 +199,6 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         broken = true;
-        tainted = true;
+        notReusable = true;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -16,146 +16,149 @@
 import org.apricotstack.serving.http.UpstreamCall;
 import org.apricotstack.serving.http.UpstreamListener;
 
-/** One send of a request to an upstream; holds the answer until it is whole, so that a cut one can be replaced. */
+/**
+ * One attempt to send a request to an upstream. Buffers the response until it is complete, so that another attempt can
+ * replace a truncated one.
+ */
 class Attempt implements UpstreamListener {
 
-    /** Longest answer that is held, in bytes; a longer one is not what plain services give. */
-    private static final int MOST_HELD_BYTES = 4 * 1024 * 1024;
+    /** Largest response that is buffered, in bytes; plain services do not send larger ones. */
+    private static final int MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-    /** Share of the allowed silence after which the engine is asked whether it is there. */
-    private static final double ASK_SHARE = 0.45;
+    /** Share of the allowed silence after which the engine is probed. */
+    private static final double PROBE_SHARE = 0.45;
 
     private final RequestRun run;
     private final UpstreamChoice choice;
     private final long startMillis;
     private UpstreamCall call;
-    private ScheduledFuture<?> watch;
+    private ScheduledFuture<?> watchdog;
     private long silenceMillis;
-    private int watches;
-    private boolean over;
+    private int watchdogGeneration;
+    private boolean finished;
     private ResponseHead head;
     private HttpResponse raw;
     private CompositeByteBuf body;
 
-    /** Creates an attempt that was not sent yet. */
+    /** Creates an attempt that has not been sent. */
     Attempt(RequestRun run, UpstreamChoice choice, long startMillis) {
         this.run = run;
         this.choice = choice;
         this.startMillis = startMillis;
     }
 
-    /** Notes the call that carries the attempt, and how long it may be silent. */
+    /** Sets the call that carries the attempt and starts the watchdog with the longest allowed silence. */
     void sent(UpstreamCall carrier, long limitMillis) {
         call = carrier;
-        if (!over) {
-            watch(limitMillis);
+        if (!finished) {
+            watchdog(limitMillis);
         }
     }
 
-    /** Expects something within a time; 0 expects nothing. */
-    final void watch(long limitMillis) {
-        if (watch != null) {
-            watch.cancel(false);
+    /** Restarts the watchdog, which fires if nothing arrives within the limit; 0 stops it. */
+    final void watchdog(long limitMillis) {
+        if (watchdog != null) {
+            watchdog.cancel(false);
         }
         silenceMillis = limitMillis;
-        watches++;
+        watchdogGeneration++;
         if (limitMillis <= 0) {
-            watch = null;
+            watchdog = null;
         } else if (choice.placement() == null) {
-            watch = run.context().loop().schedule(limitMillis, this::giveUpIfAllowed);
+            watchdog = run.context().loop().schedule(limitMillis, this::abandonIfRetryAllowed);
         } else {
-            watch = run.context().loop().schedule((long) (limitMillis * ASK_SHARE), this::silentForLong);
+            watchdog = run.context().loop().schedule((long) (limitMillis * PROBE_SHARE), this::probeEngine);
         }
     }
 
-    /** Ends the attempt if its engine is gone; otherwise waits for the rest of the time. */
-    private void silentForLong() {
-        if (over || !run.mayTryAgain(FailureKind.SILENT)) {
+    /** Abandons the attempt if its engine is dead; otherwise waits for the rest of the allowed silence. */
+    private void probeEngine() {
+        if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
         }
-        int mine = watches;
-        run.silence().gone(upstream()).subscribe(gone -> {
-            if (over || mine != watches) {
+        int generation = watchdogGeneration;
+        run.silenceCheck().isDead(upstream()).subscribe(dead -> {
+            if (finished || generation != watchdogGeneration) {
                 return;
             }
-            if (gone) {
-                giveUp(FailureKind.SILENT);
+            if (dead) {
+                abandon(FailureKind.SILENT);
             } else {
-                long rest = silenceMillis - (long) (silenceMillis * ASK_SHARE);
-                watch = run.context().loop().schedule(rest, this::silentForTooLong);
+                long rest = silenceMillis - (long) (silenceMillis * PROBE_SHARE);
+                watchdog = run.context().loop().schedule(rest, this::checkSilenceCause);
             }
         });
     }
 
-    /** Ends the attempt if another one would do better. */
-    private void silentForTooLong() {
-        if (over || !run.mayTryAgain(FailureKind.SILENT)) {
+    /** Abandons the attempt if the cause of the silence or the load of other engines justifies a retry. */
+    private void checkSilenceCause() {
+        if (finished || !run.mayRetry(FailureKind.SILENT)) {
             return;
         }
-        int mine = watches;
-        run.silence().reason(choice, begun()).subscribe(silence -> {
-            if (over || mine != watches) {
+        int generation = watchdogGeneration;
+        run.silenceCheck().cause(choice, answerStarted()).subscribe(silence -> {
+            if (finished || generation != watchdogGeneration) {
                 return;
             }
             if (silence.failure() != null) {
-                giveUp(silence.failure());
+                abandon(silence.failure());
             } else if (run.wouldBeFasterElsewhere(this)) {
-                giveUp(FailureKind.PASSED_OVER);
+                abandon(FailureKind.PASSED_OVER);
             } else {
-                watch(silenceMillis);
+                watchdog(silenceMillis);
             }
         });
     }
 
-    /** Ends the attempt of a plain request if another one may be made. */
-    private void giveUpIfAllowed() {
-        if (!over && run.mayTryAgain(FailureKind.SILENT)) {
-            giveUp(FailureKind.SILENT);
+    /** Abandons the attempt at a plain service if the request may be retried. */
+    private void abandonIfRetryAllowed() {
+        if (!finished && run.mayRetry(FailureKind.SILENT)) {
+            abandon(FailureKind.SILENT);
         }
     }
 
-    /** Ends the attempt. */
-    private void giveUp(FailureKind kind) {
+    /** Cancels the call and reports the failure. */
+    private void abandon(FailureKind kind) {
         call.cancel();
         failed(kind);
     }
 
-    /** Tells whether events of the answer came. */
-    boolean begun() {
+    /** Returns whether events of the response have arrived. */
+    boolean answerStarted() {
         return false;
     }
 
-    /** Ends the attempt, as the process that it was sent to is over. */
-    final void lost() {
-        if (call != null && !over) {
+    /** Fails the attempt because the upstream process that it was sent to no longer exists. */
+    final void upstreamRestarted() {
+        if (call != null && !finished) {
             call.cancel();
             failed(FailureKind.RESET);
         }
     }
 
-    /** Returns the upstreams that it uses. */
+    /** Returns the upstreams chosen for this attempt. */
     final UpstreamChoice choice() {
         return choice;
     }
 
-    /** Returns the upstream that answers. */
+    /** Returns the upstream that responds. */
     final UpstreamEntry upstream() {
         return choice.upstream();
     }
 
-    /** Returns when it was sent. */
+    /** Returns when the attempt was started, in milliseconds of the loop's clock. */
     final long startMillis() {
         return startMillis;
     }
 
-    /** Returns the request's run. */
+    /** Returns the run of the request. */
     final RequestRun run() {
         return run;
     }
 
-    /** Ends the attempt; the upstream notices. */
+    /** Cancels the attempt and closes its connection, which the upstream detects. */
     final void cancel() {
-        if (!over) {
+        if (!finished) {
             close();
             if (call != null) {
                 call.cancel();
@@ -163,17 +166,17 @@
         }
     }
 
-    /** Stops or resumes reading the answer. */
+    /** Pauses or resumes reading the response. */
     final void read(boolean reading) {
-        if (call != null && !over) {
+        if (call != null && !finished) {
             call.read(reading);
         }
     }
 
-    /** Notes that nothing more is expected. */
+    /** Marks the attempt as finished and frees its buffer. */
     private void close() {
-        over = true;
-        watch(0);
+        finished = true;
+        watchdog(0);
         if (body != null) {
             body.release();
             body = null;
@@ -189,12 +192,12 @@
     public void head(ResponseHead answer, HttpResponse response) {
         head = answer;
         raw = response;
-        run.answerBegan(this, answer);
+        run.answerHeadReceived(this, answer);
     }
 
     @Override
-    public void late(ResponseHead answer) {
-        run.lateAnswer(this, answer);
+    public void lateResponse(ResponseHead answer) {
+        run.lateAnswerReceived(this, answer);
     }
 
     @Override
@@ -203,7 +206,7 @@
             body = Unpooled.compositeBuffer(Integer.MAX_VALUE);
         }
         body.addComponent(true, data.retain());
-        if (body.readableBytes() > MOST_HELD_BYTES) {
+        if (body.readableBytes() > MAX_BUFFERED_BYTES) {
             cancel();
             run.attemptFailed(this, FailureKind.SPOILED);
         }
@@ -211,11 +214,11 @@
 
     @Override
     public void end() {
-        if (over) {
+        if (finished) {
             return;
         }
         FailureKind failure = failureOf(head);
-        if (failure == null || failure == FailureKind.ERROR && !run.mayTryAgain(failure)) {
+        if (failure == null || failure == FailureKind.ERROR && !run.mayRetry(failure)) {
             ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
             body = null;
             close();
@@ -225,37 +228,37 @@
         }
     }
 
-    /** Says what is wrong with an answer that came whole; {@code null} if nothing is. */
+    /** Classifies a complete response; {@code null} if it is not a failure. */
     static FailureKind failureOf(ResponseHead answer) {
-        if (answer.otherInstance()) {
+        if (answer.wrongInstance()) {
             return FailureKind.OTHER_INSTANCE;
         }
         if (answer.notRun()) {
-            return turnedAway(answer);
+            return rejectionKind(answer);
         }
         if (answer.success()) {
-            return answer.sealed() && !answer.encoded() ? null : FailureKind.SPOILED;
+            return answer.sealed() && !answer.contentEncoded() ? null : FailureKind.SPOILED;
         }
         boolean serverError = answer.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
         return serverError ? FailureKind.ERROR : null;
     }
 
-    /** Says why an upstream did not run a request. */
-    private static FailureKind turnedAway(ResponseHead answer) {
-        if (answer.faultyAddress() != null) {
+    /** Returns why an upstream rejected a request without running it. */
+    private static FailureKind rejectionKind(ResponseHead answer) {
+        if (answer.faultyHelperAddress() != null) {
             return FailureKind.HELPER_GONE;
         }
         if (answer.notice().drain() == AdvertisedDrain.DRAINING) {
             return FailureKind.DRAINING;
         }
-        boolean asks = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
-        return asks ? FailureKind.BACK_OFF : FailureKind.FULL;
+        boolean requestsBackOff = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
+        return requestsBackOff ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
-    /** Returns the helper that the answer names as the one at fault, or the upstream if it names none. */
+    /** Returns the helper that the response names as the faulty one, or the upstream if it names none. */
     final UpstreamId faultyHelper() {
         return choice.helpers().stream()
-                .filter(helper -> helper.address().toString().equals(head.faultyAddress()))
+                .filter(helper -> helper.address().toString().equals(head.faultyHelperAddress()))
                 .map(UpstreamEntry::id)
                 .findFirst()
                 .orElse(choice.upstream().id());
@@ -263,18 +266,18 @@
 
     @Override
     public void failed(FailureKind kind) {
-        if (!over) {
+        if (!finished) {
             close();
             run.attemptFailed(this, kind);
         }
     }
 
-    /** Tells whether nothing more is expected. */
-    final boolean over() {
-        return over;
+    /** Returns whether the attempt has ended. */
+    final boolean finished() {
+        return finished;
     }
 
-    /** Notes that the answer came whole. */
+    /** Marks the attempt as finished after a complete response. */
     final void finish() {
         close();
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RunLog.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestLog.java
@@ -12,8 +12,8 @@
 import org.apricotstack.serving.observe.PassedOverCause;
 import org.apricotstack.serving.observe.RefusalCause;
 
-/** Writes down and counts what happens to one request, with the figures that decided. */
-final class RunLog {
+/** Logs and counts the events of one request, with the figures that its decisions were based on. */
+final class RequestLog {
 
     private final ServingContext context;
     private final RequestFacts facts;
@@ -21,26 +21,26 @@
     private final StreamProgress progress;
 
     /** Creates the log of a request. */
-    RunLog(ServingContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
+    RequestLog(ServingContext context, RequestFacts facts, AttemptCount attempts, StreamProgress progress) {
         this.context = context;
         this.facts = facts;
         this.attempts = attempts;
         this.progress = progress;
     }
 
-    /** Begins a line. */
+    /** Starts a log line. */
     private DecisionLog.Line line(String event) {
         return context.log().request(event, facts.request().id());
     }
 
-    /** Notes the arrival. */
+    /** Logs the arrival. */
     void arrived() {
         line("arrived")
                 .put("route", facts.route().name())
                 .put("service", facts.service().value())
                 .put(
                         "account",
-                        facts.account() == null ? null : facts.accountId().value())
+                        facts.account() == null ? null : facts.clientAccountId().value())
                 .put("configuration", facts.configurationVersion())
                 .put("limit_millis", facts.endMillis() - facts.arrivedMillis())
                 .put("target_millis", facts.route().targetLatencyMillis())
@@ -49,34 +49,34 @@
                 .write();
     }
 
-    /** Notes that the request waits, as placing it now would cost others more than it is worth. */
-    void waits(long nowMillis) {
+    /** Logs that the request waits for capacity or for a rate limit. */
+    void waiting(long nowMillis) {
         line("waits")
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .put("board", context.loadTable().size())
                 .write();
     }
 
-    /** Notes that the request waits, as the same request is suspected and tried elsewhere. */
-    void held(RequestDigest digest, long nowMillis) {
+    /** Logs that the request waits because an identical, suspected request is in trial elsewhere. */
+    void waitingForTrial(RequestDigest digest, long nowMillis) {
         line("held")
                 .put("content", digest.toString())
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .write();
     }
 
-    /** Notes a send, and which upstreams were passed over for it. */
-    void sent(UpstreamChoice choice, PassedOver others, long nowMillis) {
-        count(PassedOverCause.LIMIT, others.limited());
-        count(PassedOverCause.DRAINING, others.draining());
-        count(PassedOverCause.BACK_OFF, others.backingOff());
+    /** Logs an attempt and the upstreams that were skipped for it. */
+    void sent(UpstreamChoice choice, SkippedUpstreams skipped, long nowMillis) {
+        count(PassedOverCause.LIMIT, skipped.rateLimited());
+        count(PassedOverCause.DRAINING, skipped.draining());
+        count(PassedOverCause.BACK_OFF, skipped.backingOff());
         line("sent")
                 .put("attempt", attempts.sent())
                 .put("upstream", choice.upstream().id().value())
                 .put("helpers", names(choice.helpers()))
-                .put("limits_used_up", names(others.limited()))
-                .put("draining", names(others.draining()))
-                .put("back_off", names(others.backingOff()))
+                .put("limits_used_up", names(skipped.rateLimited()))
+                .put("draining", names(skipped.draining()))
+                .put("back_off", names(skipped.backingOff()))
                 .put(
                         "part_millis",
                         choice.placement() == null
@@ -84,20 +84,20 @@
                                 : Math.round(choice.placement().lead().prefillMillis()))
                 .put("predicted_millis", Math.round(choice.predictedMillis()))
                 .put("reserves", choice.reserves())
-                .put("left_millis", facts.leftMillis(nowMillis))
+                .put("left_millis", facts.remainingMillis(nowMillis))
                 .put("board", context.loadTable().size())
                 .write();
     }
 
-    /** Counts a send for which upstreams were passed over. */
+    /** Counts an attempt for which upstreams were skipped. */
     private void count(PassedOverCause cause, List<UpstreamEntry> upstreams) {
         if (!upstreams.isEmpty()) {
             context.metrics().passedOver(cause);
         }
     }
 
-    /** Notes that a choice is dropped before it was sent. */
-    void passedOver(Attempt attempt, PassedOverCause cause, long opensMillis) {
+    /** Logs that a choice was dropped before the request was sent. */
+    void passedOver(Attempt attempt, PassedOverCause cause, long blockedMillis) {
         UpstreamId upstream = attempt.upstream().id();
         RateLimit limit = context.limits().find(upstream);
         context.metrics().passedOver(cause);
@@ -106,7 +106,7 @@
                 .put("upstream", upstream.value())
                 .put("per_second", limit == null ? null : Double.toString(limit.perSecond()))
                 .put("keeper", context.limitGossip().permitIssuerOf(upstream))
-                .put("opens_millis", opensMillis)
+                .put("opens_millis", blockedMillis)
                 .write();
     }
 
@@ -117,7 +117,7 @@
                 : upstreams.stream().map(entry -> entry.id().value()).collect(Collectors.joining(","));
     }
 
-    /** Notes a failed attempt; a cause says why no other follows. */
+    /** Logs a failed attempt; the cause says why it is not retried and is {@code null} if it is. */
     void failed(Attempt attempt, FailureKind kind, RefusalCause cause, long nowMillis) {
         context.metrics().attemptFailed(kind);
         if (cause == null) {
@@ -133,18 +133,18 @@
                 .write();
     }
 
-    /** Notes whether the upstream ended at which an attempt broke off, and what tells the request apart. */
-    void brokeOff(Attempt attempt, RequestDigest digest, boolean upstreamEnded) {
+    /** Logs whether the upstream of an interrupted attempt crashed, with the digest of the request. */
+    void attemptInterrupted(Attempt attempt, RequestDigest digest, boolean upstreamEnded) {
         line("broke_off")
                 .put("content", digest.toString())
                 .put("upstream", attempt.upstream().id().value())
                 .put("incarnation", attempt.upstream().id().incarnation())
                 .put("upstream_ended", upstreamEnded)
-                .put("events", attempt.begun())
+                .put("events", attempt.answerStarted())
                 .write();
     }
 
-    /** Notes the first event of an attempt. */
+    /** Logs the first event of an attempt. */
     void firstEvent(Attempt attempt, boolean firstOfAll, long nowMillis) {
         long seen = nowMillis - attempt.startMillis();
         if (firstOfAll) {
@@ -158,22 +158,22 @@
                 .write();
     }
 
-    /** Notes an answer of an upstream. */
-    void answered(String how, Attempt attempt, int status, long nowMillis) {
+    /** Logs the response of an upstream. */
+    void answered(String event, Attempt attempt, int status, long nowMillis) {
         context.metrics().served(facts.route().kind());
-        context.metrics().longestTokenGap(progress.longestPauseMillis());
-        line(how)
+        context.metrics().longestTokenGap(progress.longestTokenGapMillis());
+        line(event)
                 .put("status", status)
                 .put("attempt", attempts.sent())
                 .put("upstream", attempt.upstream().id().value())
                 .put("took_millis", nowMillis - facts.arrivedMillis())
-                .put("longest_pause_millis", progress.longestPauseMillis())
+                .put("longest_pause_millis", progress.longestTokenGapMillis())
                 .write();
     }
 
     /**
-     * Notes the end without an answer of an upstream; status 0 means that a begun answer is broken off. The digest of a
-     * request that is refused as suspected tells it apart.
+     * Logs a request that ends without a response of an upstream. Status 0 means that a started response is aborted;
+     * the digest identifies a request that is refused as suspected.
      */
     void refused(RefusalCause cause, int status, long retryMillis, RequestDigest digest, long nowMillis) {
         context.metrics().refused(cause);
@@ -189,7 +189,7 @@
                 .write();
     }
 
-    /** Notes that the caller left. */
+    /** Logs that the caller disconnected. */
     void callerLeft(long nowMillis) {
         line("caller_left")
                 .put("took_millis", nowMillis - facts.arrivedMillis())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/RequestRun.java
@@ -15,11 +15,11 @@
 import org.apricotstack.serving.observe.RefusalCause;
 
 /**
- * The life of one request, from its body to its final answer.
+ * Runs one request, from the arrival of its body to the final response.
  *
- * <p>It is sent to one upstream after the other, as often as its route allows. A request that must not run twice is
- * sent again only if it is certain that it has not run. A stream that breaks goes on at another upstream after the last
- * whole event, inside the same answer.
+ * <p>It is sent to one upstream after the other, as often as its route allows. A non-idempotent request is retried only
+ * if it is certain that it has not run. A broken stream is resumed at another upstream after the last complete event,
+ * within the same response to the caller.
  */
 final class RequestRun implements CallerRequestListener {
 
@@ -31,16 +31,16 @@
     private final StreamProgress progress;
     private final SuspectGate gate;
     private final UpstreamGates gates;
-    private final RunSuspicion suspicion;
-    private final RunLog log;
+    private final SuspectTracker suspectTracker;
+    private final RequestLog log;
     private final Consumer<RequestRun> onEnd;
     private final RequestSender sender;
     private final ScheduledFuture<?> timeLimit;
     private ByteBuf body;
     private int bodyBytes;
-    private boolean over;
+    private boolean finished;
 
-    /** Begins a run; it waits for the body. */
+    /** Creates a run that waits for the body. */
     RequestRun(
             ServingContext context,
             UpstreamChooser chooser,
@@ -58,37 +58,37 @@
         this.progress = new StreamProgress(facts.request().lastEventId());
         this.gate = gate;
         this.gates = gates;
-        this.suspicion = new RunSuspicion(gate, facts);
-        this.log = new RunLog(context, facts, attempts, progress);
-        this.sender = new RequestSender(this, chooser, gates, facts, attempts, progress, suspicion, log);
-        this.timeLimit = context.loop().schedule(facts.leftMillis(context.nowMillis()), this::timeOver);
+        this.suspectTracker = new SuspectTracker(gate, facts);
+        this.log = new RequestLog(context, facts, attempts, progress);
+        this.sender = new RequestSender(this, chooser, gates, facts, attempts, progress, suspectTracker, log);
+        this.timeLimit = context.loop().schedule(facts.remainingMillis(context.nowMillis()), this::timedOut);
         log.arrived();
     }
 
-    /** Returns what requests share. */
+    /** Returns the shared context. */
     ServingContext context() {
         return context;
     }
 
-    /** Tells whether it has ended. */
-    boolean over() {
-        return over;
+    /** Returns whether the run has ended. */
+    boolean finished() {
+        return finished;
     }
 
-    /** Returns what finds out why an engine is silent. */
-    SilenceCheck silence() {
-        return chooser.silence();
+    /** Returns the check that explains why an engine is silent. */
+    SilenceCheck silenceCheck() {
+        return chooser.silenceCheck();
     }
 
     @Override
     public void body(ByteBuf whole) {
-        if (over) {
+        if (finished) {
             whole.release();
             return;
         }
         if (!context.bodies().tryReserve(whole.readableBytes())) {
             whole.release();
-            endWithout(RefusalCause.BODY_MEMORY);
+            endWithRefusal(RefusalCause.BODY_MEMORY);
             return;
         }
         bodyBytes = whole.readableBytes();
@@ -98,112 +98,120 @@
         sender.send();
     }
 
-    /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
+    /** Returns whether a stream that waits for a busy engine would get its next event sooner at another one. */
     boolean wouldBeFasterElsewhere(Attempt attempt) {
         return sender.wouldBeFasterElsewhere(attempt);
     }
 
-    /** Tells whether another send may follow a failure of the current one. */
-    boolean mayTryAgain(FailureKind kind) {
-        return attempts.whyNotAgain(kind, false, facts.leftMillis(context.nowMillis())) == null;
+    /** Returns whether the current attempt may be retried after a failure. */
+    boolean mayRetry(FailureKind kind) {
+        return attempts.retryRefusal(kind, false, facts.remainingMillis(context.nowMillis())) == null;
     }
 
-    /** Tells whether an attempt may still be given to the upstreams that were chosen for it. */
+    /** Returns whether an attempt may still be sent to the upstreams chosen for it. */
     boolean mayBeSent(Attempt attempt) {
-        return gates.whyNotSent(attempt.choice()) == null;
+        return gates.unavailableCause(attempt.choice()) == null;
     }
 
-    /** Takes the failure of an attempt: sends again or ends. */
+    /** Processes the failure of an attempt: retries or refuses the request. */
     void attemptFailed(Attempt attempt, FailureKind kind) {
-        if (over || attempt != sender.current()) {
+        if (finished || attempt != sender.current()) {
             return;
         }
         sender.end(attempt);
-        UpstreamId blamed = kind == FailureKind.HELPER_GONE
+        UpstreamId responsible = kind == FailureKind.HELPER_GONE
                 ? attempt.faultyHelper()
                 : attempt.upstream().id();
-        boolean isFree = attempts.isFree(kind, context.upstreams().isDraining(blamed));
-        attempts.failed(kind, isFree);
+        boolean isUncounted = attempts.isUncounted(kind, context.upstreams().isDraining(responsible));
+        attempts.failed(kind, isUncounted);
         if (kind != FailureKind.WITHHELD && kind != FailureKind.BACK_OFF) {
-            sender.exclude(blamed);
+            sender.exclude(responsible);
         }
-        chooser.failed(blamed, kind);
-        if (gate.mayHaveEnded(attempt.upstream(), kind)) {
-            RequestDigest digest = suspicion.digest();
-            gate.brokeOff(attempt.upstream(), digest, attempt.begun(), ended -> {
-                log.brokeOff(attempt, digest, ended);
-                goOn(attempt, kind, isFree);
+        chooser.failed(responsible, kind);
+        if (gate.mayHaveCrashed(attempt.upstream(), kind)) {
+            RequestDigest digest = suspectTracker.digest();
+            gate.attemptInterrupted(attempt.upstream(), digest, attempt.answerStarted(), crashed -> {
+                log.attemptInterrupted(attempt, digest, crashed);
+                retryOrRefuse(attempt, kind, isUncounted);
             });
         } else {
-            goOn(attempt, kind, isFree);
+            retryOrRefuse(attempt, kind, isUncounted);
         }
     }
 
-    /** Sends again after a failure, or ends. */
-    private void goOn(Attempt attempt, FailureKind kind, boolean isFree) {
-        if (over) {
+    /** Retries the request after a failure, or refuses it. */
+    private void retryOrRefuse(Attempt attempt, FailureKind kind, boolean isUncounted) {
+        if (finished) {
             return;
         }
         long now = context.nowMillis();
-        RefusalCause cause = attempts.whyNotAgain(kind, isFree, facts.leftMillis(now));
-        if (cause == null && !isFree && !context.budgets().of(facts.service()).trySpend(now)) {
+        RefusalCause cause = attempts.retryRefusal(kind, isUncounted, facts.remainingMillis(now));
+        if (cause == null
+                && !isUncounted
+                && !context.budgets().of(facts.service()).trySpend(now)) {
             cause = RefusalCause.RETRY_BUDGET;
         }
         log.failed(attempt, kind, cause, now);
         if (cause == null) {
             sender.send();
         } else {
-            endWithout(cause);
+            endWithRefusal(cause);
         }
     }
 
     /**
-     * Ends the attempt that runs in a start of an upstream that is over. Its connection may be silent, and only the
-     * time limit would end it. A request that must not run twice is left to the end of its connection.
+     * Fails the attempt at an incarnation of an upstream that no longer runs. Its connection may be silent, so that it
+     * would otherwise end only by the time limit. A non-idempotent request waits until its connection is closed.
      */
-    void lostWith(UpstreamId start) {
+    void upstreamRestarted(UpstreamId incarnation) {
         Attempt attempt = sender.current();
         if (attempt != null
                 && facts.route().idempotent()
-                && attempt.upstream().id().equals(start)) {
-            attempt.lost();
+                && attempt.upstream().id().equals(incarnation)) {
+            attempt.upstreamRestarted();
         }
     }
 
     /**
-     * Takes in that more is known of a request under which upstreams ended. If it is this one, it is taken back from an
-     * upstream that has not begun to answer: to be refused, or to be sent again once no other router tries the same.
-     * One that cannot be sent again goes on, and the others wait for it.
+     * Re-evaluates the current attempt after more became known about a request that was in flight when upstreams
+     * crashed. If this run has that request and the upstream has not started to respond, the attempt is withdrawn: the
+     * request is refused, or retried once no other router has it in trial. A request that may not be retried continues,
+     * and identical ones wait for it.
      */
-    void suspected(RequestDigest request) {
+    void recheckSuspicion(RequestDigest request) {
         Attempt attempt = sender.current();
-        if (over || attempt == null || attempt.begun() || !suspicion.is(request)) {
+        if (finished || attempt == null || attempt.answerStarted() || !suspectTracker.matches(request)) {
             return;
         }
-        if (suspicion.isRefused()) {
-            attempts.leftAtWork();
-            endWithout(RefusalCause.ENDS_UPSTREAMS);
-        } else if (suspicion.isOneOfMany() && facts.route().idempotent() && mayTryAgain(FailureKind.WITHDRAWN)) {
+        if (suspectTracker.isRefused()) {
+            attempts.endedInFlight();
+            endWithRefusal(RefusalCause.ENDS_UPSTREAMS);
+        } else if (suspectTracker.isSentBeforeSuspected()
+                && facts.route().idempotent()
+                && mayRetry(FailureKind.WITHDRAWN)) {
             attempt.cancel();
             attemptFailed(attempt, FailureKind.WITHDRAWN);
-        } else if (suspicion.isOneOfMany()) {
-            suspicion.tries(attempt.upstream().id(), facts.leftMillis(context.nowMillis()));
+        } else if (suspectTracker.isSentBeforeSuspected()) {
+            suspectTracker.trialStarted(attempt.upstream().id(), facts.remainingMillis(context.nowMillis()));
         }
     }
 
-    /** Takes the beginning of an answer, whatever follows. */
-    void answerBegan(Attempt attempt, ResponseHead answer) {
-        stated(attempt, answer, attempt.startMillis());
+    /** Processes the head of a response, whatever follows. */
+    void answerHeadReceived(Attempt attempt, ResponseHead answer) {
+        applyNotice(attempt, answer, attempt.startMillis());
     }
 
-    /** Takes the beginning of an answer to an earlier request; it may begin what it says, but end nothing. */
-    void lateAnswer(Attempt attempt, ResponseHead answer) {
-        stated(attempt, answer, Long.MIN_VALUE);
+    /**
+     * Processes the head of a late response to an earlier request; its notice may start a limit, drain or back-off, but
+     * not end one.
+     */
+    void lateAnswerReceived(Attempt attempt, ResponseHead answer) {
+        applyNotice(attempt, answer, Long.MIN_VALUE);
     }
 
-    /** Takes in what an upstream says of itself; what another one at its address says concerns the other one. */
-    private void stated(Attempt attempt, ResponseHead answer, long sentMillis) {
-        if (!answer.otherInstance()) {
+    /** Applies the notice of an upstream, unless another instance at its address sent it. */
+    private void applyNotice(Attempt attempt, ResponseHead answer, long sentMillis) {
+        if (!answer.wrongInstance()) {
             gates.answered(
                     attempt.upstream().id(),
                     answer.notice(),
@@ -212,19 +220,19 @@
         }
     }
 
-    /** Takes a whole answer, or an upstream's failure that is passed on as it is. */
+    /** Processes a complete response, or an upstream's error that is forwarded unchanged. */
     void answered(Attempt attempt, boolean success, HttpResponse raw, ByteBuf answer) {
-        if (over) {
+        if (finished) {
             answer.release();
             return;
         }
         if (success) {
             context.outlierDetector().succeeded(attempt.upstream().id());
         }
-        if (exchange.begun()) {
+        if (exchange.answerStarted()) {
             answer.release();
             sender.end(attempt);
-            endWithout(RefusalCause.ATTEMPTS_USED);
+            endWithRefusal(RefusalCause.ATTEMPTS_USED);
             return;
         }
         long now = context.nowMillis();
@@ -233,24 +241,24 @@
         finish("answered", attempt, raw.status().code());
     }
 
-    /** Takes an event of a stream and passes it on unless it is there already. */
+    /** Processes an event of a stream and forwards it unless it is a duplicate. */
     void event(Attempt attempt, HttpResponse raw, EventSplitter.Event event) {
-        if (over || !progress.isNext(event.id())) {
+        if (finished || !progress.isNext(event.id())) {
             event.bytes().release();
-            if (!over && progress.misses(event.id())) {
+            if (!finished && progress.skipsEvents(event.id())) {
                 attempt.cancel();
                 attemptFailed(attempt, FailureKind.SPOILED);
             }
             return;
         }
         long now = context.nowMillis();
-        chooser.silence().progress(attempt.upstream().id());
-        if (progress.firstOf(attempt)) {
-            chooser.writing(attempt.choice());
-            log.firstEvent(attempt, !exchange.begun(), now);
+        chooser.silenceCheck().eventReceived(attempt.upstream().id());
+        if (progress.isFirstOf(attempt)) {
+            chooser.decodeStarted(attempt.choice());
+            log.firstEvent(attempt, !exchange.answerStarted(), now);
         }
-        progress.took(event.id(), now);
-        if (!exchange.begun()) {
+        progress.eventForwarded(event.id(), now);
+        if (!exchange.answerStarted()) {
             exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.data(event.bytes());
@@ -259,66 +267,69 @@
         }
     }
 
-    /** Takes the whole end of a stream. */
-    void streamed(Attempt attempt, HttpResponse raw) {
-        if (over) {
+    /** Processes the complete end of a stream. */
+    void streamCompleted(Attempt attempt, HttpResponse raw) {
+        if (finished) {
             return;
         }
         context.outlierDetector().succeeded(attempt.upstream().id());
-        if (!exchange.begun()) {
+        if (!exchange.answerStarted()) {
             exchange.begin(raw.status(), PlainProtocol.withoutHopByHop(raw.headers()));
         }
         exchange.complete();
         finish("streamed", attempt, raw.status().code());
     }
 
-    /** Ends the run with an answer of an upstream. */
-    private void finish(String how, Attempt attempt, int status) {
-        log.answered(how, attempt, status, context.nowMillis());
-        suspicion.served();
+    /** Ends the run with the response of an upstream. */
+    private void finish(String event, Attempt attempt, int status) {
+        log.answered(event, attempt, status, context.nowMillis());
+        suspectTracker.served();
         sender.end(attempt);
         close();
     }
 
-    /** Ends the time of the request. */
-    private void timeOver() {
-        if (!over) {
+    /** Ends the run because its time limit has passed. */
+    private void timedOut() {
+        if (!finished) {
             if (sender.current() != null) {
-                attempts.leftAtWork();
+                attempts.endedInFlight();
             }
-            endWithout(RefusalCause.TIME_LIMIT);
+            endWithRefusal(RefusalCause.TIME_LIMIT);
         }
     }
 
-    /** Ends the run without an answer of an upstream. */
-    void endWithout(RefusalCause cause) {
-        endWithout(cause, CallerPatience.retryAfterMillis(cause, facts.leftMillis(context.nowMillis())));
+    /** Ends the run without a response of an upstream. */
+    void endWithRefusal(RefusalCause cause) {
+        endWithRefusal(cause, TimeoutPolicy.retryAfterMillis(cause, facts.remainingMillis(context.nowMillis())));
     }
 
-    /** Ends the run without an answer of an upstream, and tells the caller when to come back; 0 for no advice. */
-    void endWithout(RefusalCause cause, long retryMillis) {
-        if (over) {
+    /**
+     * Ends the run without a response of an upstream, and tells the caller after how many milliseconds to retry; 0 for
+     * no advice.
+     */
+    void endWithRefusal(RefusalCause cause, long retryMillis) {
+        if (finished) {
             return;
         }
         long now = context.nowMillis();
-        boolean begun = exchange.begun();
-        int status = begun
+        boolean answerStarted = exchange.answerStarted();
+        int status = answerStarted
                 ? 0
                 : RequestDispatcher.status(cause, attempts.mayHaveRun()).code();
-        log.refused(cause, status, retryMillis, suspicion.digestOf(cause), now);
+        log.refused(cause, status, retryMillis, suspectTracker.digestIfSuspected(cause), now);
         sender.cancel();
         close();
-        if (begun) {
+        if (answerStarted) {
             exchange.abort();
         } else {
             RequestDispatcher.answer(exchange, cause, attempts.mayHaveRun(), retryMillis);
         }
     }
 
-    /** Frees what the run used. */
+    /** Frees the resources of the run. */
     private void close() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             timeLimit.cancel(false);
             if (body != null) {
                 body.release();
@@ -331,7 +342,7 @@
 
     @Override
     public void disconnected() {
-        if (!over) {
+        if (!finished) {
             log.callerLeft(context.nowMillis());
             sender.cancel();
             close();
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/SilenceCheck.java
@@ -8,34 +8,40 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Finds out why an engine is silent, before a stream is moved and its whole prompt read again elsewhere.
+ * Finds out why an engine is silent, before its stream is moved and the whole prompt is prefilled again elsewhere.
  *
- * <p>What goes wrong without it: under load all streams of an engine pause, each is moved, every move adds reading to
- * the other engines, and these pause too. A stream that stops while others of its engine go on is lost alone. In all
- * other cases the engine is asked: one that does not answer, or that has started again since, is gone. One whose queue
- * is not empty is overloaded and not faulty: a request without a first event is most likely in that queue. Taken for a
- * fault, the engine would be avoided, and the others would have to take its load.
+ * <p>Without this check, overload spreads: all streams of an overloaded engine stall, each is moved, every move adds
+ * prefill work to the other engines, and these stall too. A stream that stalls while others of its engine continue was
+ * lost on its own. In all other cases the engine is queried. One that does not answer, or that has restarted since, is
+ * dead. One with a non-empty queue is overloaded and not faulty, as a request without a first event is most likely in
+ * that queue; if that were counted as a failure, the engine would be avoided and the others would have to take its
+ * load.
  */
 final class SilenceCheck {
 
-    /** Events of other streams count as a sign of life for this time, in milliseconds: a few passes. */
+    /**
+     * Time for which an event of another stream proves that the engine is alive, in milliseconds: a few batch steps.
+     */
     private static final long ALIVE_MILLIS = 300;
 
-    /** Time for which an answer of an engine serves all streams, in milliseconds, as asking is priced. */
-    private static final long SHARED_MILLIS = 500;
+    /**
+     * Time for which a status report is reused for all streams of the engine, in milliseconds, because status calls
+     * cost money.
+     */
+    private static final long CACHE_MILLIS = 500;
 
     private final ServingContext context;
     private final UpstreamGates gates;
-    private final Map<UpstreamId, Long> progressMillis = new HashMap<>();
-    private final Map<UpstreamId, Asked> asked = new HashMap<>();
+    private final Map<UpstreamId, Long> lastEventMillis = new HashMap<>();
+    private final Map<UpstreamId, Query> queries = new HashMap<>();
 
     /**
-     * A question to an engine.
+     * A status query to an engine.
      *
-     * @param atMillis when it was asked
-     * @param answer its answer, which all streams share
+     * @param atMillis when the query was sent
+     * @param answer the result, shared by all streams
      */
-    private record Asked(long atMillis, Mono<Silence> answer) {}
+    private record Query(long atMillis, Mono<SilenceCause> answer) {}
 
     /** Creates a check. */
     SilenceCheck(ServingContext context, UpstreamGates gates) {
@@ -43,79 +49,80 @@
         this.gates = gates;
     }
 
-    /** Notes an event of an engine. */
-    void progress(UpstreamId engine) {
-        progressMillis.put(engine, context.nowMillis());
+    /** Records an event of an engine. */
+    void eventReceived(UpstreamId engine) {
+        lastEventMillis.put(engine, context.nowMillis());
     }
 
     /**
-     * Says why an engine is silent on a request; the answer may take a fraction of a second.
+     * Returns why an engine is silent on a request; may take a fraction of a second.
      *
-     * @param choice the engine and those that help it
-     * @param begun whether events of the request came before
+     * @param choice the engine and its helpers
+     * @param answerStarted whether events of the request have arrived
      */
-    Mono<Silence> reason(UpstreamChoice choice, boolean begun) {
+    Mono<SilenceCause> cause(UpstreamChoice choice, boolean answerStarted) {
         UpstreamEntry engine = choice.upstream();
-        if (showsLife(engine) && begun) {
-            return Mono.just(Silence.PASSED_OVER);
+        if (hasRecentEvents(engine) && answerStarted) {
+            return Mono.just(SilenceCause.PASSED_OVER);
         }
-        boolean waits = !showsLife(engine) || waitsForHelpers(choice);
-        return answer(engine).map(found -> waits && found == Silence.PASSED_OVER ? Silence.BUSY : found);
+        boolean excused = !hasRecentEvents(engine) || waitsForHelpers(choice);
+        return answer(engine).map(found -> excused && found == SilenceCause.PASSED_OVER ? SilenceCause.BUSY : found);
     }
 
     /**
-     * Tells whether helpers still read parts of the prompt. The queue of the engine that answers says nothing of them,
-     * as newer parts go ahead of them at the helpers. Taken for lost, the whole prompt would be read again.
+     * Returns whether helpers still prefill their parts of the prompt. The queue of the responding engine does not show
+     * that, as helpers run newer parts first. If the request were taken for lost, its whole prompt would be prefilled
+     * again.
      */
     private boolean waitsForHelpers(UpstreamChoice choice) {
         return !choice.helpers().isEmpty()
                 && context.loadTable().remainingPrefillMillis(choice.placement().id(), context.nowMillis()) > 0;
     }
 
-    /** Tells whether a silent engine is gone; the answer may take a fraction of a second. */
-    Mono<Boolean> gone(UpstreamEntry engine) {
-        return showsLife(engine) ? Mono.just(false) : answer(engine).map(found -> found == Silence.GONE);
+    /** Returns whether a silent engine is dead; may take a fraction of a second. */
+    Mono<Boolean> isDead(UpstreamEntry engine) {
+        return hasRecentEvents(engine) ? Mono.just(false) : answer(engine).map(found -> found == SilenceCause.DEAD);
     }
 
-    /** Tells whether other streams of an engine go on. */
-    private boolean showsLife(UpstreamEntry engine) {
-        Long last = progressMillis.get(engine.id());
+    /** Returns whether an event of any stream of an engine has arrived recently. */
+    private boolean hasRecentEvents(UpstreamEntry engine) {
+        Long last = lastEventMillis.get(engine.id());
         return last != null && context.nowMillis() - last < ALIVE_MILLIS;
     }
 
-    /** Asks an engine unless it was asked a moment ago; passed over means that nothing waits there. */
-    private Mono<Silence> answer(UpstreamEntry engine) {
+    /** Queries an engine unless a recent result exists; {@code PASSED_OVER} means that its queue is empty. */
+    private Mono<SilenceCause> answer(UpstreamEntry engine) {
         long now = context.nowMillis();
-        Asked before = asked.get(engine.id());
-        if (before == null || now - before.atMillis() > SHARED_MILLIS) {
-            before = new Asked(now, ask(engine));
-            asked.put(engine.id(), before);
+        Query before = queries.get(engine.id());
+        if (before == null || now - before.atMillis() > CACHE_MILLIS) {
+            before = new Query(now, query(engine));
+            queries.put(engine.id(), before);
         }
         return before.answer();
     }
 
     /**
-     * Asks an engine if it may be asked now. One whose limit lets no request pass, or that asked for a back-off, counts
-     * as overloaded.
+     * Queries an engine if it may be queried now. One that is blocked by its rate limit or a back-off counts as
+     * overloaded.
      */
-    private Mono<Silence> ask(UpstreamEntry engine) {
-        if (gates.backOffs().opensMillis(engine.id()) > 0) {
-            return Mono.just(Silence.BUSY);
+    private Mono<SilenceCause> query(UpstreamEntry engine) {
+        if (gates.backOffs().blockedMillis(engine.id()) > 0) {
+            return Mono.just(SilenceCause.BUSY);
         }
         return Mono.<Boolean>create(sink -> gates.limits().acquire(engine.id(), sink::success))
-                .flatMap(granted -> granted ? report(engine) : Mono.just(Silence.BUSY))
+                .flatMap(granted -> granted ? report(engine) : Mono.just(SilenceCause.BUSY))
                 .cache();
     }
 
-    /** Reads an engine's report. */
-    private Mono<Silence> report(UpstreamEntry engine) {
+    /** Requests and evaluates an engine's status report. */
+    private Mono<SilenceCause> report(UpstreamEntry engine) {
         long sentMillis = context.nowMillis();
         return context.engines()
                 .report(engine, notice -> gates.answered(engine.id(), notice, sentMillis, null))
                 .map(report -> {
                     UpstreamId answering = new UpstreamId(engine.id().value(), report.incarnation());
                     if (answering.isLaterIncarnationOf(engine.id())) {
-                        return Silence.GONE;
+                        return SilenceCause.DEAD;
                     }
                     context.loadTable().load(engine.id()).slowdown(report.slowdown());
                     context.log()
@@ -124,8 +131,8 @@
                             .put("pace_percent", Math.round(report.slowdown() * 100))
                             .put("queued", report.queued())
                             .write();
-                    return report.queued() > 0 ? Silence.BUSY : Silence.PASSED_OVER;
+                    return report.queued() > 0 ? SilenceCause.BUSY : SilenceCause.PASSED_OVER;
                 })
-                .onErrorReturn(Silence.GONE);
+                .onErrorReturn(SilenceCause.DEAD);
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/StreamProgress.java
@@ -1,17 +1,17 @@
 package org.apricotstack.serving.run;
 
-/** How far a stream has come, so that no event is passed on twice and none is missing. */
+/** Position in a stream, used to detect duplicate and missing events. */
 final class StreamProgress {
 
     private String lastEventId;
     private long last = -1;
     private boolean counted;
-    private Attempt writing;
+    private Attempt currentAttempt;
     private long lastMillis;
-    private long longestPauseMillis;
-    private boolean begun;
+    private long longestTokenGapMillis;
+    private boolean answerStarted;
 
-    /** Creates the progress of a stream that follows an event that the caller has; {@code null} if it has none. */
+    /** Creates the position after the last event that the caller has; {@code null} if it has none. */
     StreamProgress(String lastEventId) {
         this.lastEventId = lastEventId;
         if (lastEventId != null) {
@@ -24,29 +24,29 @@
         }
     }
 
-    /** Tells whether an event is the one that follows. */
+    /** Returns whether an event is the next one in sequence. */
     boolean isNext(long id) {
         return id < 0 || !counted || id == last + 1;
     }
 
-    /** Tells whether events before this one are missing. */
-    boolean misses(long id) {
+    /** Returns whether events before this one are missing. */
+    boolean skipsEvents(long id) {
         return counted && id > last + 1;
     }
 
-    /** Tells whether an event is the first of its attempt, once. */
-    boolean firstOf(Attempt attempt) {
-        boolean first = writing != attempt;
-        writing = attempt;
+    /** Returns whether an event is the first of its attempt; {@code true} once per attempt. */
+    boolean isFirstOf(Attempt attempt) {
+        boolean first = currentAttempt != attempt;
+        currentAttempt = attempt;
         return first;
     }
 
-    /** Notes an event that is passed on. */
-    void took(long id, long nowMillis) {
-        if (begun) {
-            longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastMillis);
+    /** Records a forwarded event. */
+    void eventForwarded(long id, long nowMillis) {
+        if (answerStarted) {
+            longestTokenGapMillis = Math.max(longestTokenGapMillis, nowMillis - lastMillis);
         }
-        begun = true;
+        answerStarted = true;
         lastMillis = nowMillis;
         if (id >= 0) {
             last = id;
@@ -55,23 +55,23 @@
         }
     }
 
-    /** Tells whether an event was passed on. */
-    boolean begun() {
-        return begun;
+    /** Returns whether an event was forwarded. */
+    boolean answerStarted() {
+        return answerStarted;
     }
 
-    /** Returns when the last event was passed on. */
+    /** Returns when the last event was forwarded. */
     long lastMillis() {
         return lastMillis;
     }
 
-    /** Returns the event after which the stream goes on, or {@code null}. */
+    /** Returns the id of the event after which the stream resumes, or {@code null}. */
     String lastEventId() {
         return lastEventId;
     }
 
-    /** Returns the longest time between two events. */
-    long longestPauseMillis() {
-        return longestPauseMillis;
+    /** Returns the longest time between two events, in milliseconds. */
+    long longestTokenGapMillis() {
+        return longestTokenGapMillis;
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
@@ -23,53 +23,53 @@
 import org.apricotstack.core.upstream.UpstreamEntry;
 import org.apricotstack.serving.observe.PassedOverCause;
 
-/** Chooses upstreams: engines by the placer, plain upstreams by what this router has in flight there. */
+/** Chooses upstreams: engines by the placer, plain upstreams by this router's requests in flight. */
 final class UpstreamChooser {
 
-    /** What a likely failure counts for, in requests in flight, when plain upstreams are compared. */
+    /** Cost of a certain failure, in requests in flight, when plain upstreams are compared. */
     private static final double FAILURE_WEIGHT = 12;
 
-    /** What another data centre counts for, in requests in flight. */
+    /** Cost of another data centre, in requests in flight. */
     private static final double DISTANCE_WEIGHT = 0.6;
 
     private final ServingContext context;
     private final UpstreamGates gates;
     private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
-    private final SilenceCheck silence;
+    private final SilenceCheck silenceCheck;
     private long placements;
 
     /** Creates a chooser. */
     UpstreamChooser(ServingContext context, UpstreamGates gates) {
         this.context = context;
         this.gates = gates;
-        this.silence = new SilenceCheck(context, gates);
+        this.silenceCheck = new SilenceCheck(context, gates);
     }
 
-    /** Returns what finds out why an engine is silent. */
-    SilenceCheck silence() {
-        return silence;
+    /** Returns the check that explains why an engine is silent. */
+    SilenceCheck silenceCheck() {
+        return silenceCheck;
     }
 
-    /** Chooses the upstreams for the next send of a request; {@code null} if none can answer in time. */
-    UpstreamChoice choose(RequestFacts facts, boolean begun, Set<UpstreamId> excluded) {
+    /** Chooses the upstreams for the next attempt of a request; {@code null} if none can respond in time. */
+    UpstreamChoice choose(RequestFacts facts, boolean answerStarted, Set<UpstreamId> excluded) {
         return facts.runsOnEngines()
-                ? engines(
+                ? chooseEngines(
                         facts.service(),
                         facts.profile().engine().orElseThrow(),
-                        facts.prompt(context.nowMillis(), begun),
+                        facts.prompt(context.nowMillis(), answerStarted),
                         excluded)
-                : plain(facts.service(), excluded);
+                : choosePlain(facts.service(), excluded);
     }
 
-    /** Chooses an upstream of a plain service; {@code null} if none is listed. */
-    private UpstreamChoice plain(ServiceId service, Set<UpstreamId> excluded) {
+    /** Chooses an upstream of a plain service; {@code null} if none is available. */
+    private UpstreamChoice choosePlain(ServiceId service, Set<UpstreamId> excluded) {
         UpstreamEntry best = null;
         double bestCost = Double.MAX_VALUE;
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             double cost = inFlight.getOrDefault(entry.id(), 0)
                     + FAILURE_WEIGHT * context.outlierDetector().failureProbability(entry.id(), context.nowMillis())
                     + (entry.dataCentre().equals(context.dataCentre()) ? 0 : DISTANCE_WEIGHT);
-            if (!excluded.contains(entry.id()) && cost < bestCost && gates.opensMillis(entry.id()) == 0) {
+            if (!excluded.contains(entry.id()) && cost < bestCost && gates.blockedMillis(entry.id()) == 0) {
                 best = entry;
                 bestCost = cost;
             }
@@ -77,14 +77,14 @@
         return best == null ? null : new UpstreamChoice(best, List.of(), null, 0, false, false, false);
     }
 
-    /** Chooses engines for a prompt; {@code null} if none can give a first event in time. */
-    private UpstreamChoice engines(
+    /** Chooses engines for a prompt; {@code null} if none can send a first event in time. */
+    private UpstreamChoice chooseEngines(
             ServiceId service, EngineProfile profile, PromptRequest request, Set<UpstreamId> excluded) {
         long now = context.nowMillis();
         context.loadTable().expire(now);
         List<EngineCandidate> candidates = new ArrayList<>();
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
-            if (!excluded.contains(entry.id()) && gates.opensMillis(entry.id()) == 0) {
+            if (!excluded.contains(entry.id()) && gates.blockedMillis(entry.id()) == 0) {
                 context.loadTable().load(entry.id()).profile(profile);
                 candidates.add(new EngineCandidate(
                         entry.id(),
@@ -94,7 +94,7 @@
                         !gates.limits().isLimited(entry.id())));
             }
         }
-        List<EngineCandidate> ordered = context.news().hasPeerPlacements()
+        List<EngineCandidate> ordered = context.placementGossip().hasPeerPlacements()
                 ? candidates
                 : PerRouterEngineOrder.of(context.process(), candidates);
         PlacementChoice choice = ordered.isEmpty() ? null : new EnginePlacer(profile).choose(request, ordered, now);
@@ -123,114 +123,121 @@
                 PromptAdmission.isRefused(choice, request.promptTokens()));
     }
 
-    /** Returns when the first upstream of a service opens, if all that may be used are closed now. */
-    Opening opening(ServiceId service, Set<UpstreamId> excluded) {
+    /** Returns when the first usable upstream of a service accepts requests again, if all are blocked now. */
+    NextAvailability nextAvailability(ServiceId service, Set<UpstreamId> excluded) {
         if (gates.isIdle()) {
-            return Opening.NOW;
+            return NextAvailability.IMMEDIATE;
         }
-        Opening first = null;
+        NextAvailability first = null;
         for (UpstreamEntry entry : context.upstreams().usable(service)) {
             if (!excluded.contains(entry.id())) {
-                long millis = gates.opensMillis(entry.id());
+                long millis = gates.blockedMillis(entry.id());
                 if (first == null || millis < first.millis()) {
-                    boolean limited = millis > gates.backOffs().opensMillis(entry.id());
-                    first = new Opening(millis, limited ? PassedOverCause.LIMIT : PassedOverCause.BACK_OFF);
+                    boolean rateLimited = millis > gates.backOffs().blockedMillis(entry.id());
+                    first = new NextAvailability(
+                            millis, rateLimited ? PassedOverCause.LIMIT : PassedOverCause.BACK_OFF);
                 }
             }
         }
-        return first == null || first.millis() == 0 ? Opening.NOW : first;
+        return first == null || first.millis() == 0 ? NextAvailability.IMMEDIATE : first;
     }
 
-    /** Lists the upstreams of a service that get no requests now, by what their answers said. */
-    PassedOver passedOver(ServiceId service) {
+    /** Returns the upstreams of a service that are skipped now because of their notices. */
+    SkippedUpstreams skippedUpstreams(ServiceId service) {
         if (gates.isIdle() && context.upstreams().drains().isEmpty()) {
-            return PassedOver.NONE;
+            return SkippedUpstreams.NONE;
         }
         List<UpstreamEntry> usable = context.upstreams().usable(service);
-        return new PassedOver(
+        return new SkippedUpstreams(
                 usable.stream()
-                        .filter(entry -> gates.limits().opensMillis(entry.id()) > 0)
+                        .filter(entry -> gates.limits().blockedMillis(entry.id()) > 0)
                         .toList(),
                 context.upstreams().draining(service),
                 usable.stream()
-                        .filter(entry -> gates.backOffs().opensMillis(entry.id()) > 0)
+                        .filter(entry -> gates.backOffs().blockedMillis(entry.id()) > 0)
                         .toList());
     }
 
-    /** Tells whether a stream that waits for a busy engine would go on sooner at another one. */
-    boolean fasterElsewhere(RequestFacts facts, UpstreamChoice used, boolean begun, Set<UpstreamId> excluded) {
+    /** Returns whether a stream that waits for a busy engine would get its next event sooner at another one. */
+    boolean fasterElsewhere(RequestFacts facts, UpstreamChoice used, boolean answerStarted, Set<UpstreamId> excluded) {
         UpstreamId engine = used.upstream().id();
-        double here = nextEventMillis(used, begun);
-        if (here < CallerPatience.WORTH_MOVING_MILLIS) {
+        double here = nextEventMillis(used, answerStarted);
+        if (here < TimeoutPolicy.MIN_MOVE_GAIN_MILLIS) {
             return false;
         }
         Set<UpstreamId> others = new HashSet<>(excluded);
         others.add(engine);
-        UpstreamChoice elsewhere = choose(facts, begun, others);
+        UpstreamChoice elsewhere = choose(facts, answerStarted, others);
         return elsewhere != null
-                && !elsewhere.dear()
-                && elsewhere.predictedMillis() + CallerPatience.WORTH_MOVING_MILLIS < here;
+                && !elsewhere.expensive()
+                && elsewhere.predictedMillis() + TimeoutPolicy.MIN_MOVE_GAIN_MILLIS < here;
     }
 
-    /** Predicts when a stream gets its next event; one that is still read by several engines, when all have done so. */
-    private double nextEventMillis(UpstreamChoice used, boolean begun) {
+    /**
+     * Predicts the time to the next event of a stream; while several engines prefill its prompt, the time until all
+     * have finished.
+     */
+    private double nextEventMillis(UpstreamChoice used, boolean answerStarted) {
         long now = context.nowMillis();
-        double reading = begun || used.helpers().isEmpty()
+        double prefillMillis = answerStarted || used.helpers().isEmpty()
                 ? 0
                 : context.loadTable().remainingPrefillMillis(used.placement().id(), now);
-        return reading > 0
-                ? reading
+        return prefillMillis > 0
+                ? prefillMillis
                 : context.loadTable().load(used.upstream().id()).nextEventMillis(now);
     }
 
-    /** Notes that a choice is used. */
+    /** Records the start of an attempt and reports its placement. */
     void begin(UpstreamChoice choice, long limitMillis) {
         inFlight.merge(choice.upstream().id(), 1, Integer::sum);
         context.outlierDetector().trialStarted(choice.upstream().id(), context.nowMillis());
         if (choice.placement() != null) {
             context.loadTable().place(choice.placement(), context.nowMillis(), limitMillis);
-            context.news().placed(choice.placement(), limitMillis);
+            context.placementGossip().placed(choice.placement(), limitMillis);
         }
     }
 
-    /** Notes that the first event came. */
-    void writing(UpstreamChoice choice) {
+    /** Records that the first event arrived and reports that decoding has started. */
+    void decodeStarted(UpstreamChoice choice) {
         if (choice.placement() != null) {
             context.loadTable().startDecoding(choice.placement().id(), context.nowMillis());
-            context.news().decodeStarted(choice.placement());
+            context.placementGossip().decodeStarted(choice.placement());
         }
     }
 
-    /** Lets a failure count against the upstream that caused it, here and at the other routers, unless it leaves. */
-    void failed(UpstreamId blamed, FailureKind kind) {
-        if (context.upstreams().isDraining(blamed)) {
+    /**
+     * Records a failure against the responsible upstream and reports it to the other routers, unless the upstream is
+     * draining.
+     */
+    void failed(UpstreamId responsible, FailureKind kind) {
+        if (context.upstreams().isDraining(responsible)) {
             return;
         }
         long now = context.nowMillis();
         long avoid = 0;
         if (kind == FailureKind.FULL) {
-            avoid = context.outlierDetector().rejectedAsFull(blamed, now);
+            avoid = context.outlierDetector().rejectedAsFull(responsible, now);
         } else if (kind.countsAsFailure()) {
-            avoid = context.outlierDetector().failed(blamed, kind, now);
+            avoid = context.outlierDetector().failed(responsible, kind, now);
         }
         if (avoid == 0) {
             return;
         }
-        context.news().avoided(blamed, avoid);
+        context.placementGossip().avoided(responsible, avoid);
         context.log()
                 .line("avoided")
-                .put("upstream", blamed.value())
+                .put("upstream", responsible.value())
                 .put("kind", kind.code())
                 .put("avoid_millis", avoid)
                 .write();
     }
 
-    /** Notes that a choice is no longer used. */
+    /** Records the end of an attempt and reports the end of its placement. */
     void end(UpstreamChoice choice) {
         inFlight.computeIfPresent(choice.upstream().id(), (id, count) -> count > 1 ? count - 1 : null);
         if (choice.placement() != null) {
             context.loadTable().remove(choice.placement().id(), context.nowMillis());
-            context.news().ended(choice.placement());
+            context.placementGossip().ended(choice.placement());
         }
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -33,12 +33,12 @@
     private static final UpstreamEntry LEAD = engine("lead", 1);
     private static final UpstreamEntry HELPER = engine("helper", 2);
 
-    private int orders;
+    private int calls;
     private final ServingLoop loop = new ServingLoop(() -> 0);
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final UpstreamTable upstreams = new UpstreamTable();
     private final LimitTable limits = new LimitTable();
-    private final DenyingLimitGossip news = new DenyingLimitGossip();
+    private final DenyingLimitGossip limitGossip = new DenyingLimitGossip();
     private final ServingContext context = new ServingContext(
             null,
             null,
@@ -54,7 +54,7 @@
             null,
             null,
             limits,
-            news,
+            limitGossip,
             null,
             null,
             log,
@@ -77,7 +77,7 @@
                 1);
     }
 
-    /** Takes all orders. */
+    /** Accepts all calls and counts them. */
     private final class Engines implements EngineCalls {
         @Override
         public Mono<Boolean> reserve(
@@ -85,18 +85,18 @@
                 String reservation,
                 long tokens,
                 long holdMillis,
-                Consumer<UpstreamNotice> heard) {
-            return Mono.fromSupplier(() -> taken(heard));
+                Consumer<UpstreamNotice> onNotice) {
+            return Mono.fromSupplier(() -> accept(onNotice));
         }
 
         @Override
-        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> heard) {
-            return Mono.fromSupplier(() -> taken(heard));
+        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
+            return Mono.fromSupplier(() -> accept(onNotice));
         }
 
-        private boolean taken(Consumer<UpstreamNotice> heard) {
-            orders++;
-            heard.accept(new UpstreamNotice(
+        private boolean accept(Consumer<UpstreamNotice> onNotice) {
+            calls++;
+            onNotice.accept(new UpstreamNotice(
                     new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
                     AdvertisedDrain.ABSENT,
                     AdvertisedBackOff.ABSENT));
@@ -104,13 +104,13 @@
         }
 
         @Override
-        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> heard) {
-            return Mono.error(new IllegalStateException("No report is expected."));
+        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
+            return Mono.error(new IllegalStateException("No status query is expected."));
         }
     }
 
     @Test
-    void sendsOrdersToALimitedEngineAndCountsThem() {
+    void chargesReservationCallsToALimitedEngineWithoutAPermit() {
         upstreams.put(HELPER);
         limits.reportedByPeer(HELPER.id(), new RateLimit(2, 0));
         EnginePlacement placement = new EnginePlacement(
@@ -123,8 +123,8 @@
         ReservedHelpers helpers = new ReservedHelpers(context, new UpstreamGates(context), choice);
         assertThat(helpers.reserve().block()).isTrue();
         helpers.release();
-        assertThat(orders).isEqualTo(2);
-        assertThat(news.charged).isEqualTo(2);
-        assertThat(news.asked).isZero();
+        assertThat(calls).isEqualTo(2);
+        assertThat(limitGossip.chargedRequests).isEqualTo(2);
+        assertThat(limitGossip.permitRequests).isZero();
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -62,11 +62,11 @@
             new EngineProfile(8, 300_000, 50, 1, 0, 0, 200, 0, Integer.MAX_VALUE, 800);
 
     private long nowMillis;
-    private int asked;
+    private int queries;
     private Mono<EngineCalls.Report> report = Mono.just(new EngineCalls.Report(5, 3, 1));
     private UpstreamNotice notice = UpstreamNotice.NONE;
     private final ServingLoop loop = new ServingLoop(() -> nowMillis * 1_000_000);
-    private final EngineLoadTable board = new EngineLoadTable();
+    private final EngineLoadTable loadTable = new EngineLoadTable();
     private final DecisionLog log = new DecisionLog("host", () -> 0);
     private final LimitTable limits = new LimitTable();
     private final DenyingLimitGossip limitGossip = new DenyingLimitGossip();
@@ -77,7 +77,7 @@
             null,
             new UpstreamTable(),
             null,
-            board,
+            loadTable,
             null,
             null,
             new Engines(),
@@ -98,7 +98,7 @@
         log.close();
     }
 
-    /** Counts the questions. */
+    /** Counts the status queries. */
     private final class Engines implements EngineCalls {
         @Override
         public Mono<Boolean> reserve(
@@ -106,90 +106,89 @@
                 String reservation,
                 long tokens,
                 long holdMillis,
-                Consumer<UpstreamNotice> heard) {
-            return Mono.error(new IllegalStateException("No order is expected."));
+                Consumer<UpstreamNotice> onNotice) {
+            return Mono.error(new IllegalStateException("No reservation call is expected."));
         }
 
         @Override
-        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> heard) {
-            return Mono.error(new IllegalStateException("No order is expected."));
+        public Mono<Boolean> release(UpstreamEntry engine, String reservation, Consumer<UpstreamNotice> onNotice) {
+            return Mono.error(new IllegalStateException("No reservation call is expected."));
         }
 
         @Override
-        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> heard) {
+        public Mono<Report> report(UpstreamEntry engine, Consumer<UpstreamNotice> onNotice) {
             return Mono.defer(() -> {
-                asked++;
-                heard.accept(notice);
+                queries++;
+                onNotice.accept(notice);
                 return report;
             });
         }
     }
 
     /**
-     * Symptom: under load the fleet went into overload by itself. Sequence: all streams of an engine pause, each is
-     * moved
-     * and its prompt read again elsewhere. Cause: a busy engine was taken for a dead one.
+     * Under load, all streams of a busy engine stalled. Each was moved and its prompt prefilled again elsewhere, which
+     * overloaded the whole fleet. The busy engine had been taken for a dead one.
      */
     @Test
-    void leavesStreamsAtAnEngineThatIsBusy() {
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.BUSY);
-        assertThat(board.load(ENGINE.id()).slowdown()).isEqualTo(5);
+    void keepsStreamsAtABusyEngine() {
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.BUSY);
+        assertThat(loadTable.load(ENGINE.id()).slowdown()).isEqualTo(5);
     }
 
     @Test
     void movesStreamsFromAnEngineThatDoesNotAnswer() {
         report = Mono.error(new IllegalStateException("no answer"));
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.GONE);
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.DEAD);
     }
 
     @Test
-    void movesStreamsFromAnEngineThatStartedAgain() {
+    void movesStreamsFromARestartedEngine() {
         report = Mono.just(new EngineCalls.Report(1, 0, ENGINE.id().incarnation() + 1));
-        assertThat(check.gone(ENGINE).block()).isTrue();
+        assertThat(check.isDead(ENGINE).block()).isTrue();
     }
 
     @Test
-    void movesAStreamThatIsSilentAloneWithoutAsking() {
-        check.progress(ENGINE.id());
+    void movesASingleSilentStreamWithoutAStatusQuery() {
+        check.eventReceived(ENGINE.id());
         nowMillis += 100;
-        assertThat(check.reason(ALONE, true).block()).isEqualTo(Silence.PASSED_OVER);
-        assertThat(asked).isZero();
+        assertThat(check.cause(ALONE, true).block()).isEqualTo(SilenceCause.PASSED_OVER);
+        assertThat(queries).isZero();
     }
 
     /**
-     * Symptom: after all routers had started at once, engines were avoided one after the other, though all were sound.
-     * Sequence: an engine with a queue writes streams, a request in its queue has no first event yet. Cause: a request
-     * without an event beside streams that go on was taken for lost, and its engine for faulty.
+     * After all routers had started at once, healthy engines were avoided one after the other. A request in the queue
+     * of an engine has no first event while the engine decodes other streams; the request was taken for lost and the
+     * engine for faulty.
      */
     @ParameterizedTest
     @CsvSource({"4, BUSY", "0, PASSED_OVER"})
-    void tellsAQueueFromALossWhileOtherStreamsGoOn(int queued, Silence expected) {
+    void distinguishesAQueuedFromALostRequestWhileOtherStreamsContinue(int queued, SilenceCause expected) {
         report = Mono.just(new EngineCalls.Report(1, queued, 1));
-        check.progress(ENGINE.id());
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(expected);
+        check.eventReceived(ENGINE.id());
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(expected);
     }
 
     /**
-     * Symptom: the longest prompts were late by seconds in phases with many of them, and read twice. Sequence: several
-     * engines share a reading; a newer one goes ahead of it at a helper; the engine that is to answer has no queue and
-     * writes other streams. Cause: the request was taken for lost, though a helper had yet to read its part.
+     * In phases with many of the longest prompts, these were late by seconds and prefilled twice. Several engines share
+     * a prefill, and a helper runs a newer part first. The responding engine had an empty queue and decoded other
+     * streams, so the request was taken for lost though a helper had not yet prefilled its part.
      */
     @ParameterizedTest
     @CsvSource({"1000, BUSY", "1900, BUSY", "2100, PASSED_OVER"})
-    void leavesAPromptThatHelpersStillRead(long afterMillis, Silence expected) {
-        board.load(ENGINE.id()).profile(PROFILE);
-        board.load(HELPER.id()).profile(PROFILE);
+    void keepsAPromptThatHelpersStillPrefill(long afterMillis, SilenceCause expected) {
+        loadTable.load(ENGINE.id()).profile(PROFILE);
+        loadTable.load(HELPER.id()).profile(PROFILE);
         EnginePlacement older = place(1, ENGINE, HELPER);
         place(2, HELPER);
         UpstreamChoice choice = new UpstreamChoice(ENGINE, List.of(HELPER), older, 1_000, false, false, false);
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         nowMillis = afterMillis;
-        check.progress(ENGINE.id());
+        check.eventReceived(ENGINE.id());
 
-        assertThat(check.reason(choice, false).block()).isEqualTo(expected);
+        assertThat(check.cause(choice, false).block()).isEqualTo(expected);
     }
 
-    /** Places a prompt of which each engine reads for a second, ahead of what is there. */
+    /** Places a prompt of which each engine prefills a part for a second, ahead of earlier parts. */
     private EnginePlacement place(long number, UpstreamEntry... engines) {
         List<EnginePart> parts = new ArrayList<>();
         for (UpstreamEntry engine : engines) {
@@ -197,55 +196,55 @@
         }
         parts.add(new EnginePart(new UpstreamId("other-" + number, 1), 1_000, 0));
         EnginePlacement placement = new EnginePlacement(new PlacementId(ROUTER, number), parts, 200_000, 3_000, 1_000);
-        board.place(placement, nowMillis, 15_000);
+        loadTable.place(placement, nowMillis, 15_000);
         return placement;
     }
 
     @Test
-    void leavesARequestAtAnEngineThatIsSilentOnAllButAnswers() {
+    void keepsARequestAtAnEngineThatIsSilentOnAllStreamsButReportsItsStatus() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(Silence.BUSY);
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
     }
 
     @Test
-    void asksOnceForAllStreamsThatAreSilentTogether() {
+    void queriesOnceForAllStreamsThatFallSilentTogether() {
         for (int i = 0; i < 10; i++) {
-            check.reason(ALONE, true).block();
+            check.cause(ALONE, true).block();
         }
-        assertThat(asked).isEqualTo(1);
+        assertThat(queries).isEqualTo(1);
         nowMillis += 10_000;
-        check.reason(ALONE, true).block();
-        assertThat(asked).isEqualTo(2);
+        check.cause(ALONE, true).block();
+        assertThat(queries).isEqualTo(2);
     }
 
     @Test
-    void takesAnEngineForBusyThatMayNotBeAskedAsItsLimitIsUsedUp() {
+    void assumesAnEngineWithAUsedUpLimitIsBusyWithoutAQuery() {
         limits.reportedByPeer(ENGINE.id(), new RateLimit(1, 0));
-        assertThat(check.reason(ALONE, false).block()).isEqualTo(Silence.BUSY);
-        assertThat(limitGossip.asked).isEqualTo(1);
-        assertThat(asked).isZero();
+        assertThat(check.cause(ALONE, false).block()).isEqualTo(SilenceCause.BUSY);
+        assertThat(limitGossip.permitRequests).isEqualTo(1);
+        assertThat(queries).isZero();
     }
 
     @Test
-    void readsALimitInAReport() {
+    void appliesTheLimitInAStatusReport() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
                 new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
-        check.reason(ALONE, false).block();
+        check.cause(ALONE, false).block();
         assertThat(limits.find(ENGINE.id()).perSecond()).isEqualTo(3);
     }
 
     @Test
-    void takesAnEngineForBusyThatAskedForABackOffAndDoesNotAskIt() {
+    void assumesAnEngineInBackOffIsBusyWithoutAQuery() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
         AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
-        assertThat(gated.gone(ENGINE).block()).isFalse();
-        assertThat(asked).isZero();
+        assertThat(gated.isDead(ENGINE).block()).isFalse();
+        assertThat(queries).isZero();
         nowMillis += 3_000;
-        gated.gone(ENGINE).block();
-        assertThat(asked).isEqualTo(1);
+        gated.isDead(ENGINE).block();
+        assertThat(queries).isEqualTo(1);
     }
 }
