--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/ControlMessages.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/ControlMessages.java
@@ -20,21 +20,21 @@
 import org.apricotstack.wire.ProbeRequest;
 import org.apricotstack.wire.RemovedDocument;
 
-/** Turns probes and document deltas into messages between routers and back. */
+/** Converts probes and document deltas to and from the protocol buffers that routers exchange. */
 final class ControlMessages {
 
     private ControlMessages() {}
 
-    /** Writes a probe. */
-    static ProbeRequest request(ProbePayload news) {
+    /** Encodes a probe. */
+    static ProbeRequest request(ProbePayload payload) {
         return ProbeRequest.newBuilder()
-                .setSender(PeerMessages.process(news.sender()))
-                .addAllMembers(members(news.members()))
-                .addAllDigests(digests(news.versions()))
+                .setSender(PeerMessages.process(payload.sender()))
+                .addAllMembers(members(payload.members()))
+                .addAllDigests(digests(payload.versions()))
                 .build();
     }
 
-    /** Writes the answer to a probe. */
+    /** Encodes the answer to a probe. */
     static ProbeReply reply(ProbeAnswer answer) {
         return ProbeReply.newBuilder()
                 .setSender(PeerMessages.process(answer.payload().sender()))
@@ -44,24 +44,24 @@
                 .build();
     }
 
-    /** Reads a probe. */
-    static ProbePayload news(ProbeRequest message) {
+    /** Decodes a probe. */
+    static ProbePayload payload(ProbeRequest message) {
         return new ProbePayload(
                 PeerMessages.process(message.getSender()),
-                readMembers(message.getMembersList()),
-                readDigests(message.getDigestsList()));
+                decodeMembers(message.getMembersList()),
+                decodeDigests(message.getDigestsList()));
     }
 
-    /** Reads the answer to a probe. */
+    /** Decodes the answer to a probe. */
     static ProbeAnswer answer(ProbeReply message) {
-        ProbePayload news = new ProbePayload(
+        ProbePayload payload = new ProbePayload(
                 PeerMessages.process(message.getSender()),
-                readMembers(message.getMembersList()),
-                readDigests(message.getDigestsList()));
-        return new ProbeAnswer(news, message.getClockNanos());
+                decodeMembers(message.getMembersList()),
+                decodeDigests(message.getDigestsList()));
+        return new ProbeAnswer(payload, message.getClockNanos());
     }
 
-    /** Writes statements about members. */
+    /** Encodes membership records. */
     private static List<org.apricotstack.wire.MemberRecord> members(List<MemberRecord> records) {
         return records.stream()
                 .map(record -> org.apricotstack.wire.MemberRecord.newBuilder()
@@ -73,8 +73,8 @@
                 .toList();
     }
 
-    /** Reads statements about members; states of a later version of the protocol are passed over. */
-    private static List<MemberRecord> readMembers(List<org.apricotstack.wire.MemberRecord> messages) {
+    /** Decodes membership records. Records with a state of a later protocol version are skipped. */
+    private static List<MemberRecord> decodeMembers(List<org.apricotstack.wire.MemberRecord> messages) {
         MemberState[] states = MemberState.values();
         return messages.stream()
                 .filter(message -> message.getState() >= 0 && message.getState() < states.length)
@@ -86,7 +86,7 @@
                 .toList();
     }
 
-    /** Writes versions of document sets. */
+    /** Encodes the versions of document sets. */
     private static List<DocumentDigest> digests(Map<ReplicationTopic, Long> versions) {
         return versions.entrySet().stream()
                 .map(entry -> DocumentDigest.newBuilder()
@@ -96,8 +96,8 @@
                 .toList();
     }
 
-    /** Reads versions of document sets; unknown sets are passed over. */
-    private static Map<ReplicationTopic, Long> readDigests(List<DocumentDigest> messages) {
+    /** Decodes the versions of document sets. Unknown sets are skipped. */
+    private static Map<ReplicationTopic, Long> decodeDigests(List<DocumentDigest> messages) {
         Map<ReplicationTopic, Long> versions = new EnumMap<>(ReplicationTopic.class);
         for (DocumentDigest message : messages) {
             for (ReplicationTopic topic : ReplicationTopic.values()) {
@@ -109,7 +109,7 @@
         return versions;
     }
 
-    /** Writes a delta. */
+    /** Encodes a delta. */
     static org.apricotstack.wire.DocumentDelta delta(String topic, DocumentDelta delta) {
         org.apricotstack.wire.DocumentDelta.Builder message = org.apricotstack.wire.DocumentDelta.newBuilder()
                 .setTopic(topic)
@@ -128,7 +128,7 @@
         return message.build();
     }
 
-    /** Reads a delta. */
+    /** Decodes a delta. */
     static DocumentDelta delta(org.apricotstack.wire.DocumentDelta message) {
         List<Document> changed = new ArrayList<>();
         message.getChangedList()
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/EventMessages.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/EventMessages.java
@@ -18,13 +18,13 @@
 import org.apricotstack.wire.Refused;
 import org.apricotstack.wire.Started;
 
-/** Turns the events of attempts into messages between routers and back. */
+/** Converts the events of attempts to and from the protocol buffers that routers exchange. */
 final class EventMessages {
 
     private EventMessages() {}
 
-    /** Writes an event. */
-    static AttemptEvent write(org.apricotstack.core.stream.AttemptEvent event) {
+    /** Encodes an event. */
+    static AttemptEvent encode(org.apricotstack.core.stream.AttemptEvent event) {
         AttemptEvent.Builder message =
                 AttemptEvent.newBuilder().setAttempt(event.attempt().toString());
         if (event.load() != null) {
@@ -37,9 +37,9 @@
             message.setStarted(
                     Started.newBuilder().setUpstream(started.upstream().value()));
         } else if (signal instanceof AttemptSignal.Head head) {
-            Head.Builder written = Head.newBuilder().setStatus(head.status());
-            head.headers().forEach(header -> written.addHeaders(PeerMessages.header(header)));
-            message.setHead(written);
+            Head.Builder builder = Head.newBuilder().setStatus(head.status());
+            head.headers().forEach(header -> builder.addHeaders(PeerMessages.header(header)));
+            message.setHead(builder);
         } else if (signal instanceof AttemptSignal.Chunk chunk) {
             message.setChunk(Chunk.newBuilder()
                     .setOffset(chunk.offset())
@@ -55,7 +55,7 @@
         return message.build();
     }
 
-    /** Writes the end of a whole answer. */
+    /** Encodes the completion of an answer. */
     private static Completed completed(AttemptSignal.Completed completed) {
         return Completed.newBuilder()
                 .setTotal(completed.total())
@@ -65,7 +65,7 @@
                 .build();
     }
 
-    /** Writes a refusal. */
+    /** Encodes a refusal. */
     private static Refused refused(AttemptSignal.Refused refused) {
         Refusal refusal = refused.refusal();
         return Refused.newBuilder()
@@ -78,7 +78,7 @@
                 .build();
     }
 
-    /** Writes a load. */
+    /** Encodes the load of a group. */
     private static org.apricotstack.wire.GroupLoad load(GroupLoad load) {
         return org.apricotstack.wire.GroupLoad.newBuilder()
                 .setGroup(load.group().value())
@@ -88,15 +88,15 @@
                 .build();
     }
 
-    /** Reads an event. */
-    static org.apricotstack.core.stream.AttemptEvent read(AttemptEvent message) {
+    /** Decodes an event. */
+    static org.apricotstack.core.stream.AttemptEvent decode(AttemptEvent message) {
         return new org.apricotstack.core.stream.AttemptEvent(
                 AttemptId.parse(message.getAttempt()),
                 message.hasLoad() ? load(message.getLoad()) : null,
                 signal(message));
     }
 
-    /** Reads what happened. An event of a later version of the protocol counts as a sign of life. */
+    /** Decodes the signal of an event. An event type of a later protocol version counts as a heartbeat. */
     private static AttemptSignal signal(AttemptEvent message) {
         return switch (message.getEventCase()) {
             case QUEUED -> new AttemptSignal.Queued();
@@ -119,7 +119,7 @@
         };
     }
 
-    /** Reads a refusal; a reason of a later version of the protocol becomes an internal error. */
+    /** Decodes a refusal; a reason of a later protocol version becomes an internal error. */
     private static AttemptSignal.Refused refused(Refused message) {
         RefusalReason reason;
         try {
@@ -133,7 +133,7 @@
                 message.getUpstream().isEmpty() ? null : new UpstreamId(message.getUpstream()));
     }
 
-    /** Reads a load. */
+    /** Decodes the load of a group. */
     private static GroupLoad load(org.apricotstack.wire.GroupLoad message) {
         return new GroupLoad(
                 new GroupId(message.getGroup()),
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcCalls.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcCalls.java
@@ -12,33 +12,33 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Turns calls of the gRPC library into flows.
+ * Wraps gRPC calls as reactive streams.
  *
- * <p>Calls start outside of the library's context. A call that is made while a call of a peer is handled would
- * otherwise end with that call: the fetch of a version that a probe has told of was cancelled as soon as the probe
- * was answered, and a change reached a fleet of 64 in seconds in place of milliseconds. A run under a ticket, too,
- * must outlive the call that brought it.
+ * <p>Calls start in gRPC's root context. In the context of an incoming call they would be cancelled when that call
+ * ends: the fetch of a document version that a probe announced was cancelled as soon as the probe was answered, so that
+ * a change took seconds instead of milliseconds to reach a fleet of 64. A request with a ticket must also outlive the
+ * call that submitted it.
  */
 final class GrpcCalls {
 
     private GrpcCalls() {}
 
-    /** Makes a call with one answer. */
+    /** Makes a call with a single response. */
     static <Q, A> Mono<A> unary(Channel channel, MethodDescriptor<Q, A> method, Q request) {
         return streaming(channel, method, request).next();
     }
 
-    /** Makes a call with a stream of answers; cancelling the flow cancels the call. */
+    /** Makes a call with a stream of responses. Cancelling the subscription cancels the call. */
     static <Q, A> Flux<A> streaming(Channel channel, MethodDescriptor<Q, A> method, Q request) {
         return Flux.create(sink -> Context.ROOT.run(() -> ClientCalls.asyncServerStreamingCall(
                 channel.newCall(method, CallOptions.DEFAULT), request, new SinkObserver<Q, A>(sink))));
     }
 
     /**
-     * Passes the answers of a call to a flow.
+     * Forwards the responses of a call to a sink.
      *
      * @param <Q> the type of the request
-     * @param <A> the type of the answers
+     * @param <A> the type of the responses
      */
     private static final class SinkObserver<Q, A> implements ClientResponseObserver<Q, A> {
         private final FluxSink<A> sink;
@@ -50,7 +50,7 @@
 
         @Override
         public void beforeStart(ClientCallStreamObserver<Q> call) {
-            sink.onCancel(() -> call.cancel("The receiver of the answers has gone.", null));
+            sink.onCancel(() -> call.cancel("The subscriber cancelled.", null));
         }
 
         @Override
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerClient.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerClient.java
@@ -24,14 +24,14 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Calls peers. Connections are opened on first use and closed when idle, so their number follows the traffic. */
+/** Client of the protocol between routers. Connections are opened on first use and closed when idle. */
 public final class GrpcPeerClient implements PeerProbes, AutoCloseable {
 
     private final PeerConnections connections;
     private final ProcessId self;
     private final SslContext tls;
     private final MonotonicClock clock;
-    private final ProbeNewsSource newsSource;
+    private final ProbePayloadSource payloadSource;
 
     /**
      * Creates a client.
@@ -39,30 +39,30 @@
      * @param self this process
      * @param tls keys for mutual TLS, or {@code null} for none
      * @param clock the local clock
-     * @param newsSource makes probes that are sent to read a peer's clock
+     * @param payloadSource supplies the payload of probes that are sent to sample a peer's clock
      */
-    public GrpcPeerClient(ProcessId self, SslContext tls, MonotonicClock clock, ProbeNewsSource newsSource) {
+    public GrpcPeerClient(ProcessId self, SslContext tls, MonotonicClock clock, ProbePayloadSource payloadSource) {
         this.self = self;
         this.tls = tls;
         this.clock = clock;
-        this.newsSource = newsSource;
+        this.payloadSource = payloadSource;
         this.connections = new PeerConnections(tls, clock);
     }
 
-    /** Makes the news of a probe. */
+    /** Supplies the payload of a probe. */
     @FunctionalInterface
-    public interface ProbeNewsSource {
+    public interface ProbePayloadSource {
 
         /**
-         * Makes news.
+         * Returns the current payload.
          *
-         * @return the news
+         * @return the payload
          */
-        ProbePayload news();
+        ProbePayload payload();
     }
 
     /**
-     * Gives an attempt to the owner of a group.
+     * Dispatches an attempt to the owner of a group.
      *
      * @param target the owner
      * @param command the attempt
@@ -70,16 +70,16 @@
      */
     public Flux<AttemptEvent> dispatch(RosterHost target, DispatchCommand command) {
         PeerConnection connection = connections.to(target);
-        readClockIfDue(target, connection);
+        sampleClockIfDue(target, connection);
         return connection.ready().flatMapMany(channel -> GrpcCalls.streaming(
                         channel,
                         PeerGrpc.getDispatchMethod(),
                         PeerMessages.dispatch(command, self, connection.clock(), clock))
-                .map(EventMessages::read));
+                .map(EventMessages::decode));
     }
 
     /**
-     * Gives a request to the process that issued its ticket.
+     * Submits a request to the process that issued its ticket.
      *
      * @param target the host of that process
      * @param command the request
@@ -87,7 +87,7 @@
      */
     public Flux<AttemptEvent> submit(RosterHost target, SubmitCommand command) {
         PeerConnection connection = connections.to(target);
-        readClockIfDue(target, connection);
+        sampleClockIfDue(target, connection);
         return connection.ready().flatMapMany(channel -> {
             SubmitRequest.Builder message = SubmitRequest.newBuilder()
                     .setRequest(command.request().value())
@@ -101,39 +101,39 @@
                 message.setDeadlineProcess(PeerMessages.process(receiver)).setDeadlineNanos(theirs.atNanos());
             }
             return GrpcCalls.streaming(channel, PeerGrpc.getSubmitMethod(), message.build())
-                    .map(EventMessages::read);
+                    .map(EventMessages::decode);
         });
     }
 
-    /** Reads a peer's clock by a probe beside the traffic, if the last reading is old. */
-    private void readClockIfDue(RosterHost target, PeerConnection connection) {
+    /** Probes a peer to sample its clock if the last sample is too old. Doesn't delay the call that follows. */
+    private void sampleClockIfDue(RosterHost target, PeerConnection connection) {
         if (connection.clock().isDue(clock.nanos())) {
-            probe(target, newsSource.news()).subscribe(answer -> {}, error -> {});
+            probe(target, payloadSource.payload()).subscribe(answer -> {}, error -> {});
         }
     }
 
     @Override
-    public Mono<ProbeAnswer> probe(RosterHost target, ProbePayload news) {
-        return probe(connections.to(target), news);
+    public Mono<ProbeAnswer> probe(RosterHost target, ProbePayload payload) {
+        return probe(connections.to(target), payload);
     }
 
     /**
-     * Probes an address of which the host is not known yet.
+     * Probes an address whose host is not known yet.
      *
      * @param address the address
-     * @param news what the probe carries
+     * @param payload the payload of the probe
      * @return the answer
      */
-    public Mono<ProbeAnswer> probeAddress(Address address, ProbePayload news) {
+    public Mono<ProbeAnswer> probeAddress(Address address, ProbePayload payload) {
         return Mono.using(
                 () -> new PeerConnection(address, tls, clock.nanos()),
-                seed -> probe(seed, news),
+                seed -> probe(seed, payload),
                 PeerConnection::close);
     }
 
-    /** Probes over one connection and takes the reading of the clock. */
-    private Mono<ProbeAnswer> probe(PeerConnection connection, ProbePayload news) {
-        return GrpcCalls.unary(connection.channel(), PeerGrpc.getProbeMethod(), ControlMessages.request(news))
+    /** Probes over one connection and records the sample of the peer's clock. */
+    private Mono<ProbeAnswer> probe(PeerConnection connection, ProbePayload payload) {
+        return GrpcCalls.unary(connection.channel(), PeerGrpc.getProbeMethod(), ControlMessages.request(payload))
                 .map(ControlMessages::answer)
                 .doOnNext(answer ->
                         connection.clock().observe(answer.payload().sender(), answer.clockNanos(), clock.nanos()));
@@ -148,11 +148,11 @@
     }
 
     /**
-     * Fetches changes of a document set.
+     * Fetches the changes of a document set.
      *
      * @param target the peer
      * @param topic the set
-     * @param since the version that is here already
+     * @param since the version that this router has
      * @return the changes
      */
     public Mono<DocumentDelta> documents(RosterHost target, ReplicationTopic topic, long since) {
@@ -160,11 +160,11 @@
     }
 
     /**
-     * Fetches changes of a document set from an address of which the host is not known yet.
+     * Fetches the changes of a document set from an address whose host is not known yet.
      *
      * @param address the address
      * @param topic the set
-     * @param since the version that is here already
+     * @param since the version that this router has
      * @return the changes
      */
     public Mono<DocumentDelta> documentsFrom(Address address, ReplicationTopic topic, long since) {
@@ -185,11 +185,11 @@
     }
 
     /**
-     * Leases a share of a client account's limits from their home.
+     * Leases a share of a client account's limits from the router that issues its leases.
      *
-     * @param home the home
+     * @param home the router that issues the leases of the account
      * @param account the client account
-     * @param wantedTokens the demand here
+     * @param wantedTokens this router's demand in tokens
      * @return the share, 0 to 1
      */
     public Mono<Double> leaseLimit(RosterHost home, ClientAccountId account, long wantedTokens) {
@@ -203,7 +203,7 @@
     }
 
     /**
-     * Reads the state of a peer as operators see it.
+     * Reads a peer's status document for operators.
      *
      * @param target the peer
      * @return JSON
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Drops the connection to a peer over which an attempt was sent; the next call opens a new one.
+     * Closes the connection over which an attempt was sent to a peer. The next call opens a new one.
      *
      * @param host the peer
      * @param sentNanos when the attempt was sent, on the local clock
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerServer.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerServer.java
@@ -13,16 +13,16 @@
 import org.apricotstack.core.id.ProcessId;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Serves the protocol between routers. */
+/** Server of the protocol between routers. */
 public final class GrpcPeerServer implements AutoCloseable {
 
-    /** Longest message: the longest body and what stands around it. */
-    static final int MOST_MESSAGE_BYTES = (64 << 20) + (1 << 20);
+    /** Maximum size of a message: the largest body, and 1 MiB for the other fields. */
+    static final int MAX_MESSAGE_BYTES = (64 << 20) + (1 << 20);
 
-    /** Time without traffic after which the other side is asked for a sign of life, in seconds. */
+    /** Time without traffic after which a keep-alive ping is sent, in seconds. */
     static final long KEEP_ALIVE_SECONDS = 10;
 
-    /** Time for the sign of life, in seconds. */
+    /** Timeout of the keep-alive ping, in seconds. */
     static final long KEEP_ALIVE_TIMEOUT_SECONDS = 2;
 
     private final Server server;
@@ -30,15 +30,15 @@
     /**
      * Starts a server.
      *
-     * @param listen the address; port 0 lets the machine choose
+     * @param listen the address; port 0 selects a free port
      * @param tls keys for mutual TLS, or {@code null} for none
-     * @param endpoint does the work
+     * @param endpoint handles the calls
      * @param self this process
      * @param clock the local clock
      */
     public GrpcPeerServer(Address listen, SslContext tls, PeerEndpoint endpoint, ProcessId self, MonotonicClock clock) {
         NettyServerBuilder builder = NettyServerBuilder.forAddress(new InetSocketAddress(listen.ip(), listen.port()))
-                .maxInboundMessageSize(MOST_MESSAGE_BYTES)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                 .permitKeepAliveTime(KEEP_ALIVE_SECONDS / 2, TimeUnit.SECONDS)
                 .permitKeepAliveWithoutCalls(true)
                 .keepAliveTime(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerService.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/GrpcPeerService.java
@@ -33,10 +33,10 @@
 import reactor.core.Disposables;
 import reactor.core.publisher.Flux;
 
-/** Takes the calls of peers and hands them to the endpoint. */
+/** Handles the calls of peers by means of the endpoint. */
 final class GrpcPeerService extends PeerGrpc.PeerImplBase {
 
-    /** Parts into which a share is counted on the wire. */
+    /** Shares are sent in millionths. */
     static final double MILLIONTHS = 1_000_000;
 
     private final PeerEndpoint endpoint;
@@ -69,23 +69,23 @@
         });
     }
 
-    /** Sends a flow of events; the flow is cancelled when the peer cancels or its connection is lost. */
+    /** Sends the events to the peer. Cancels the subscription when the peer cancels or its connection is lost. */
     private static void stream(
             StreamObserver<AttemptEvent> observer, Supplier<Flux<org.apricotstack.core.stream.AttemptEvent>> events) {
         ServerCallStreamObserver<AttemptEvent> call = (ServerCallStreamObserver<AttemptEvent>) observer;
         Disposable.Swap subscription = Disposables.swap();
         call.setOnCancelHandler(subscription::dispose);
-        Flux<org.apricotstack.core.stream.AttemptEvent> flow;
+        Flux<org.apricotstack.core.stream.AttemptEvent> flux;
         try {
-            flow = events.get();
+            flux = events.get();
         } catch (ApricotException e) {
             call.onError(Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
-        subscription.update(flow.subscribe(
+        subscription.update(flux.subscribe(
                 event -> {
                     if (!call.isCancelled()) {
-                        call.onNext(EventMessages.write(event));
+                        call.onNext(EventMessages.encode(event));
                     }
                 },
                 error -> {
@@ -102,7 +102,7 @@
 
     @Override
     public void probe(ProbeRequest request, StreamObserver<ProbeReply> observer) {
-        observer.onNext(ControlMessages.reply(endpoint.probe(ControlMessages.news(request))));
+        observer.onNext(ControlMessages.reply(endpoint.probe(ControlMessages.payload(request))));
         observer.onCompleted();
     }
 
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerConnection.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerConnection.java
@@ -18,13 +18,13 @@
 /**
  * One connection to a peer.
  *
- * <p>Retries by the library are off: an attempt is sent at most once on a connection, and whether another attempt may
- * follow is decided in one place.
+ * <p>gRPC's own retries are disabled, so that an attempt is sent at most once on a connection; only the router decides
+ * whether to retry.
  */
 final class PeerConnection implements AutoCloseable {
 
-    /** Time to connect; after that the peer counts as not having been sent anything. */
-    private static final Duration CONNECT = Duration.ofMillis(800);
+    /** Connect timeout. When it expires, nothing has been sent to the peer. */
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(800);
 
     /** Time without calls after which the connection is closed, in minutes. */
     private static final long IDLE_MINUTES = 5;
@@ -34,12 +34,12 @@
     private final PeerClock clock = new PeerClock();
     private final long openedNanos;
 
-    /** Creates a connection; it connects on first use. */
+    /** Creates a connection that is opened on first use. */
     PeerConnection(Address address, SslContext tls, long openedNanos) {
         this.address = address;
         this.openedNanos = openedNanos;
         NettyChannelBuilder builder = NettyChannelBuilder.forAddress(address.ip(), address.port())
-                .maxInboundMessageSize(GrpcPeerServer.MOST_MESSAGE_BYTES)
+                .maxInboundMessageSize(GrpcPeerServer.MAX_MESSAGE_BYTES)
                 .keepAliveTime(GrpcPeerServer.KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
                 .keepAliveTimeout(GrpcPeerServer.KEEP_ALIVE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .idleTimeout(IDLE_MINUTES, TimeUnit.MINUTES)
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Waits until the connection stands. A failure here proves that nothing was sent.
+     * Waits until the connection is established. A failure here proves that nothing was sent.
      *
      * @return the channel, or an error with a {@code not_run} refusal
      */
@@ -62,12 +62,12 @@
         if (channel.getState(true) == ConnectivityState.READY) {
             return Mono.just(channel);
         }
-        Refusal refusal = Refusal.notRun(RefusalReason.OWNER_UNREACHABLE, CONNECT.toMillis());
+        Refusal refusal = Refusal.notRun(RefusalReason.OWNER_UNREACHABLE, CONNECT_TIMEOUT.toMillis());
         return Mono.<ManagedChannel>create(sink -> awaitReady(sink, refusal))
-                .timeout(CONNECT, Mono.error(refusal::toException));
+                .timeout(CONNECT_TIMEOUT, Mono.error(refusal::toException));
     }
 
-    /** Follows the state of the channel until it is ready or has failed. */
+    /** Waits for state changes of the channel until it is ready or has failed. */
     private void awaitReady(MonoSink<ManagedChannel> sink, Refusal refusal) {
         ConnectivityState state = channel.getState(true);
         switch (state) {
@@ -82,12 +82,12 @@
         return channel;
     }
 
-    /** Returns what is known of the peer's clock. */
+    /** Returns the estimate of the peer's clock. */
     PeerClock clock() {
         return clock;
     }
 
-    /** Tells whether it was opened before a moment of the local clock, or at it. */
+    /** Returns whether the connection was opened at or before an instant of the local clock. */
     boolean openedBefore(long nanos) {
         return openedNanos - nanos <= 0;
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerConnections.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerConnections.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.membership.RosterHost;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** The connections to peers, one each. They are opened on first use, so their number follows the traffic. */
+/** One connection to each peer, opened on first use. */
 final class PeerConnections implements AutoCloseable {
 
     private final Map<HostId, PeerConnection> byHost = new ConcurrentHashMap<>();
@@ -16,7 +16,7 @@
     private final MonotonicClock clock;
 
     /**
-     * Creates an empty table.
+     * Creates an empty set of connections.
      *
      * @param tls keys for mutual TLS, or {@code null} for none
      * @param clock the local clock
@@ -26,7 +26,7 @@
         this.clock = clock;
     }
 
-    /** Returns the connection to a peer; a peer that has moved gets a new one. */
+    /** Returns the connection to a peer; opens a new one if the address of the peer has changed. */
     PeerConnection to(RosterHost target) {
         return byHost.compute(target.id(), (host, current) -> {
             if (current != null && current.address().equals(target.peerAddress())) {
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Drops the connection to a peer if it was opened before a moment, or at it. Many attempts run over one connection
-     * and find it silent one after the other; without the moment each of them would cut off those that were sent again
-     * over the next connection.
+     * Closes the connection to a peer if it was opened at or before an instant. Many attempts share a connection and
+     * time out one after the other when it goes silent; without the instant, each of them would also close the new
+     * connection and abort the attempts that were retried over it.
      */
     void dropOpenedBefore(HostId host, long nanos) {
         byHost.computeIfPresent(host, (id, current) -> {
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerEndpoint.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerEndpoint.java
@@ -11,7 +11,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** What a router does for its peers. */
+/** Handles the calls of peer routers. */
 public interface PeerEndpoint {
 
     /**
@@ -33,13 +33,13 @@
     /**
      * Answers a probe.
      *
-     * @param news what the probe carries
+     * @param payload the payload of the probe
      * @return the answer
      */
-    ProbeAnswer probe(ProbePayload news);
+    ProbeAnswer probe(ProbePayload payload);
 
     /**
-     * Probes a third router.
+     * Probes another router on behalf of a peer.
      *
      * @param host the router
      * @return whether it answered
@@ -47,7 +47,7 @@
     Mono<Boolean> probeFor(HostId host);
 
     /**
-     * Tells the changes of a document set.
+     * Returns the changes of a document set.
      *
      * @param topic the set
      * @param since the version that the peer has
@@ -59,14 +59,14 @@
      * Leases a share of a client account's limits.
      *
      * @param account the client account
-     * @param host the router that asks
-     * @param wantedTokens its demand
+     * @param host the router that requests the lease
+     * @param wantedTokens its demand in tokens
      * @return the share, 0 to 1
      */
     double leaseLimit(ClientAccountId account, HostId host, long wantedTokens);
 
     /**
-     * Tells the state that operators see.
+     * Returns the status document for operators.
      *
      * @return JSON
      */
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerMessages.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/peer/PeerMessages.java
@@ -22,12 +22,12 @@
 import org.apricotstack.wire.DispatchRequest;
 import org.apricotstack.wire.Process;
 
-/** Turns commands into messages between routers and back. */
+/** Converts commands to and from the protocol buffers that routers exchange. */
 final class PeerMessages {
 
     private PeerMessages() {}
 
-    /** Writes a process. */
+    /** Encodes a process. */
     static Process process(ProcessId process) {
         return Process.newBuilder()
                 .setHost(process.host().value())
@@ -35,17 +35,17 @@
                 .build();
     }
 
-    /** Reads a process. */
+    /** Decodes a process. */
     static ProcessId process(Process message) {
         return new ProcessId(new HostId(message.getHost()), message.getIncarnation());
     }
 
     /**
-     * Writes a dispatch.
+     * Encodes a dispatch.
      *
      * @param command the attempt, with a deadline in the local clock
      * @param self this process
-     * @param receiverClock what is known of the receiver's clock
+     * @param receiverClock the estimate of the receiver's clock
      * @param clock the local clock
      */
     static DispatchRequest dispatch(
@@ -66,7 +66,7 @@
         return message.build();
     }
 
-    /** Reads a dispatch; the deadline is in the local clock. */
+    /** Decodes a dispatch, with its deadline in the local clock. */
     static DispatchCommand dispatch(DispatchRequest message, ProcessId self, MonotonicClock clock) {
         Set<UpstreamId> excluded = new LinkedHashSet<>();
         message.getExcludedUpstreamsList().forEach(name -> excluded.add(new UpstreamId(name)));
@@ -81,18 +81,19 @@
     }
 
     /**
-     * Reads a deadline: the remaining time, or the earlier instant in this process's own clock if the sender knew it.
+     * Decodes a deadline: the remaining time or, if the sender could state it, an earlier instant of this process's
+     * clock.
      *
-     * <p>A process that was paused reads the message late; only the instant shows it that the time is over.
+     * <p>A process that was suspended reads the message late; only the instant then shows that the deadline has passed.
      */
     static Deadline deadline(
             long remainingMillis, Process deadlineProcess, long nanos, ProcessId self, MonotonicClock clock) {
         Deadline byRemaining = Deadline.in(clock, remainingMillis);
-        boolean mine = deadlineProcess != null && self.equals(process(deadlineProcess));
-        return mine ? byRemaining.earlier(new Deadline(nanos)) : byRemaining;
+        boolean forThisProcess = deadlineProcess != null && self.equals(process(deadlineProcess));
+        return forThisProcess ? byRemaining.earlier(new Deadline(nanos)) : byRemaining;
     }
 
-    /** Writes what is to be run; the body is wrapped and not copied. */
+    /** Encodes the work of an attempt. The body is wrapped, not copied. */
     static org.apricotstack.wire.Work work(Work work) {
         org.apricotstack.wire.Work.Builder message = org.apricotstack.wire.Work.newBuilder()
                 .setClientAccount(work.account().value())
@@ -110,7 +111,7 @@
         return message.build();
     }
 
-    /** Reads what is to be run. */
+    /** Decodes the work of an attempt. */
     static Work work(org.apricotstack.wire.Work message) {
         Work.PlainCall call = message.getMethod().isEmpty()
                 ? null
@@ -132,7 +133,7 @@
         return field.toByteArray();
     }
 
-    /** Writes a header. */
+    /** Encodes a header. */
     static org.apricotstack.wire.Header header(Header header) {
         return org.apricotstack.wire.Header.newBuilder()
                 .setName(header.name())
@@ -140,7 +141,7 @@
                 .build();
     }
 
-    /** Reads headers. */
+    /** Decodes headers. */
     static List<Header> headers(List<org.apricotstack.wire.Header> messages) {
         return messages.stream()
                 .map(message -> new Header(message.getName(), message.getValue()))
--- a/apricotstack-adapters/src/test/java/org/apricotstack/adapters/peer/PeerConnectionsTest.java
+++ b/apricotstack-adapters/src/test/java/org/apricotstack/adapters/peer/PeerConnectionsTest.java
@@ -10,13 +10,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: after a connection between two routers went silent, requests that could have been repeated once fail, and
- * the retry budget is used up.
- *
- * <p>Sequence of events: many attempts run over one connection, which goes silent; the first one whose time is over
- * replaces it and all are sent again over a new one; the times of others are over a moment later.
- *
- * <p>Cause: each of them dropped whatever connection was open, also the new one, and cut off what ran over it.
+ * Guards against attempts that fail after the connection between two routers went silent. Many attempts share one
+ * connection. The first one that times out replaces it, and all are retried over the new connection. The other attempts
+ * of the silent connection time out a moment later and must not close the new connection too: that aborted the retried
+ * attempts and used up the retry budget.
  */
 class PeerConnectionsTest {
 
@@ -31,7 +28,7 @@
     }
 
     @Test
-    void dropsTheConnectionThatASilentAttemptWasSentOver() {
+    void closesTheConnectionOverWhichATimedOutAttemptWasSent() {
         PeerConnection silent = connections.to(peerAt(1));
 
         connections.dropOpenedBefore(HOST, nowNanos);
@@ -41,7 +38,7 @@
     }
 
     @Test
-    void keepsTheConnectionThatWasOpenedAfterASilentAttemptWasSent() {
+    void keepsAConnectionThatWasOpenedAfterTheTimedOutAttemptWasSent() {
         connections.to(peerAt(1));
         long firstSentNanos = ++nowNanos;
         long secondSentNanos = ++nowNanos;
@@ -56,7 +53,7 @@
     }
 
     @Test
-    void opensAnotherConnectionToAPeerThatHasMoved() {
+    void opensANewConnectionIfTheAddressOfThePeerHasChanged() {
         PeerConnection former = connections.to(peerAt(1));
 
         assertThat(connections.to(peerAt(2))).isNotSameAs(former);
