--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineCalls.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineCalls.java
@@ -19,7 +19,7 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Runs completions on engines. The caller's body goes on byte for byte; all else is told in headers. */
+/** Runs completions on engines. The caller's body is forwarded unchanged; everything else is sent in headers. */
 final class EngineCalls {
 
     private static final int OK = 200;
@@ -28,14 +28,14 @@
     private final HttpClient pooled;
     private final HttpClient fresh;
 
-    /** Creates calls over kept and fresh connections. */
+    /** Creates a client that uses pooled and new connections. */
     EngineCalls(ProcessId self, HttpClient pooled, HttpClient fresh) {
         this.self = self;
         this.pooled = pooled;
         this.fresh = fresh;
     }
 
-    /** Runs an attempt: first the reservations on helping engines, if any, then the completion on the lead. */
+    /** Runs an attempt: first the reservations on helpers, if any, then the completion on the lead engine. */
     Flux<AttemptEvent> run(Assignment assignment, long remainingMillis) {
         List<Upstream> engines = assignment.upstreams();
         Flux<AttemptEvent> completion = complete(assignment, remainingMillis);
@@ -49,10 +49,10 @@
                 .thenMany(completion);
     }
 
-    /** Reserves memory on a helping engine. */
+    /** Reserves memory on a helper. */
     private Mono<Void> reserve(Assignment assignment, Upstream helper, long tokens, long remainingMillis) {
         return fresh.headers(headers -> {
-                    common(headers, assignment.item().command(), remainingMillis);
+                    setCommonHeaders(headers, assignment.item().command(), remainingMillis);
                     headers.set(EngineProtocol.TOKENS, tokens);
                 })
                 .post()
@@ -64,14 +64,14 @@
                                 .toException()));
     }
 
-    /** Runs the completion on the lead. */
+    /** Runs the completion on the lead engine. */
     private Flux<AttemptEvent> complete(Assignment assignment, long remainingMillis) {
         DispatchCommand command = assignment.item().command();
         List<Upstream> engines = assignment.upstreams();
         HttpClient client = command.work().repeatable() ? pooled : fresh;
-        EngineEvents reader = new EngineEvents(command.attempt());
+        EngineEvents decoder = new EngineEvents(command.attempt());
         return client.headers(headers -> {
-                    common(headers, command, remainingMillis);
+                    setCommonHeaders(headers, command, remainingMillis);
                     headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
                     headers.set(HttpHeaderNames.ACCEPT, "text/event-stream");
                     headers.set(
@@ -86,11 +86,11 @@
                 .uri(uri(engines.get(0), EngineProtocol.COMPLETIONS))
                 .send((request, outbound) -> outbound.sendObject(
                         Unpooled.wrappedBuffer(command.work().body())))
-                .responseConnection((response, connection) -> events(response, connection, reader));
+                .responseConnection((response, connection) -> events(response, connection, decoder));
     }
 
     /** Reads the events of a response, or the engine's refusal. */
-    private static Flux<AttemptEvent> events(HttpClientResponse response, Connection connection, EngineEvents reader) {
+    private static Flux<AttemptEvent> events(HttpClientResponse response, Connection connection, EngineEvents decoder) {
         Refusal refusal = UpstreamFailures.refusalOf(response);
         if (refusal != null) {
             connection.dispose();
@@ -101,19 +101,19 @@
             return Flux.error(Refusal.unknown(RefusalReason.UPSTREAM_FAILED).toException());
         }
         return HttpLines.of(connection)
-                .map(reader::read)
+                .map(decoder::decode)
                 .takeUntil(AttemptEvent::isLast)
                 .doFinally(end -> connection.dispose());
     }
 
-    /** Sets the headers that all requests about an attempt share. */
-    private void common(HttpHeaders headers, DispatchCommand command, long remainingMillis) {
+    /** Sets the headers that all requests of an attempt have in common. */
+    private void setCommonHeaders(HttpHeaders headers, DispatchCommand command, long remainingMillis) {
         headers.set(EngineProtocol.ATTEMPT, command.attempt().toString());
         headers.set(EngineProtocol.OWNER, self.toString());
         headers.set(EngineProtocol.TIME_LIMIT, remainingMillis);
     }
 
-    /** Names the engines that hold a part of the prompt beside the lead. */
+    /** Returns the names of the helpers, separated by commas. */
     private static String helperNames(List<Upstream> engines) {
         return engines.stream().skip(1).map(helper -> helper.id().value()).collect(Collectors.joining(","));
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineControl.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineControl.java
@@ -20,29 +20,30 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Asks engines what they hold and what they are, and orders them. Looks go over one kept connection to each engine,
- * as a new one for each costs more bytes than the answer; releases and orders take new connections.
+ * Reads the held streams and the state of engines, and sets their desired state. Queries use one keep-alive connection
+ * to each engine, as opening a connection for each costs more bytes than the response; releases and state changes use
+ * new connections.
  */
 final class EngineControl {
 
-    private static final int MOST_OK = 299;
+    private static final int MAX_SUCCESS = 299;
     private static final int CONFLICT = 409;
 
     private final HttpClient client;
-    private final HttpClient looks;
+    private final HttpClient queryClient;
 
-    /** Creates the calls over new connections and over kept ones. */
-    EngineControl(HttpClient client, HttpClient looks) {
+    /** Creates a client that uses new connections for changes and keep-alive connections for queries. */
+    EngineControl(HttpClient client, HttpClient queryClient) {
         this.client = client;
-        this.looks = looks;
+        this.queryClient = queryClient;
     }
 
-    /** Makes a call without a body; a status of failure is an error. */
+    /** Makes a call without a body. A status above 299 is an error. */
     Mono<byte[]> call(HttpMethod method, Upstream upstream, String path) {
-        return (method == HttpMethod.GET ? looks : client)
+        return (method == HttpMethod.GET ? queryClient : client)
                 .request(method)
                 .uri(EngineCalls.uri(upstream, path))
-                .responseSingle((response, body) -> response.status().code() <= MOST_OK
+                .responseSingle((response, body) -> response.status().code() <= MAX_SUCCESS
                         ? body.asByteArray().defaultIfEmpty(new byte[0])
                         : Mono.error(new ApricotException(
                                 ErrorCode.ENVIRONMENT,
@@ -50,7 +51,7 @@
                                         + response.status().code() + "; check it.")));
     }
 
-    /** Lists what an engine holds. */
+    /** Lists the streams that an engine holds. */
     Mono<List<HeldStream>> held(Upstream upstream) {
         return call(HttpMethod.GET, upstream, EngineProtocol.HELD).map(bytes -> {
             List<HeldStream> held = new ArrayList<>();
@@ -65,7 +66,7 @@
         });
     }
 
-    /** Reads what an engine is. */
+    /** Reads the current state of an engine. */
     Mono<DesiredUpstreamState> state(Upstream upstream) {
         return call(HttpMethod.GET, upstream, EngineProtocol.STATE).map(bytes -> {
             JsonNode node = read(bytes, upstream);
@@ -81,25 +82,25 @@
         });
     }
 
-    /** Orders an engine. */
-    Mono<Boolean> order(Upstream upstream, DesiredUpstreamState order) {
+    /** Sends the desired state to an engine; returns whether the engine accepted it. */
+    Mono<Boolean> order(Upstream upstream, DesiredUpstreamState desired) {
         ObjectNode document = Json.STRICT
                 .createObjectNode()
-                .put("model", order.model())
-                .put("revision", order.revision())
-                .put("role", order.role())
-                .put("fencing", order.fencing());
-        order.adapters().forEach(document.putArray("adapters")::add);
+                .put("model", desired.model())
+                .put("revision", desired.revision())
+                .put("role", desired.role())
+                .put("fencing", desired.fencing());
+        desired.adapters().forEach(document.putArray("adapters")::add);
         byte[] bytes = Json.write(document).getBytes(StandardCharsets.UTF_8);
         return client.post()
                 .uri(EngineCalls.uri(upstream, EngineProtocol.STATE))
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(bytes)))
                 .response()
                 .map(response -> response.status().code() != CONFLICT
-                        && response.status().code() <= MOST_OK);
+                        && response.status().code() <= MAX_SUCCESS);
     }
 
-    /** Reads a document of an engine. */
+    /** Parses the JSON of an engine. */
     private static JsonNode read(byte[] bytes, Upstream upstream) {
         try {
             return Json.STRICT.readTree(bytes);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineEvents.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineEvents.java
@@ -12,10 +12,10 @@
 import org.apricotstack.core.stream.AttemptSignal;
 
 /**
- * Reads the lines of an engine's event stream.
+ * Decodes the lines of an engine's event stream.
  *
- * <p>Each document names the attempt, the offset of its text in tokens and their count; the last one has the usage. A
- * line that is not a document counts as a sign of life.
+ * <p>Each document states the attempt, the offset of its text in tokens and the number of tokens; the last one has the
+ * usage. A line without a document counts as a heartbeat.
  */
 final class EngineEvents {
 
@@ -24,13 +24,13 @@
 
     private final AttemptId attempt;
 
-    /** Creates a reader for one attempt. */
+    /** Creates a decoder for one attempt. */
     EngineEvents(AttemptId attempt) {
         this.attempt = attempt;
     }
 
-    /** Reads one line. */
-    AttemptEvent read(String line) {
+    /** Decodes one line. */
+    AttemptEvent decode(String line) {
         if (!line.startsWith(DATA) || line.startsWith(DONE, DATA.length())) {
             return new AttemptEvent(attempt, new AttemptSignal.Heartbeat());
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Reads what a document says. */
+    /** Returns the signal that a document carries. */
     private static AttemptSignal signal(JsonNode document) {
         JsonNode choice = document.path("choices").path(0);
         JsonNode usage = document.get("usage");
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpLines.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpLines.java
@@ -11,10 +11,10 @@
 import reactor.core.publisher.Flux;
 import reactor.netty.Connection;
 
-/** Reads the body of an HTTP response line by line, however the network has cut it into pieces. */
+/** Reads the body of an HTTP response line by line, independent of how it is split into packets. */
 public final class HttpLines {
 
-    private static final int MOST_LINE_BYTES = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private HttpLines() {}
 
@@ -22,19 +22,19 @@
      * Reads the lines of a response.
      *
      * @param connection the connection of the response
-     * @return its lines without their ends, empty ones left out
+     * @return its lines without line separators; empty lines are left out
      */
     public static Flux<String> of(Connection connection) {
         return connection
                 .addHandlerLast("content-bytes", new ContentBytes())
-                .addHandlerLast("lines", new LineBasedFrameDecoder(MOST_LINE_BYTES))
+                .addHandlerLast("lines", new LineBasedFrameDecoder(MAX_LINE_BYTES))
                 .inbound()
                 .receive()
                 .asString(StandardCharsets.UTF_8)
                 .filter(line -> !line.isEmpty());
     }
 
-    /** Takes the bytes out of HTTP content, as the decoder of lines reads bytes only. */
+    /** Unwraps HTTP content to bytes, as the line decoder accepts only bytes. */
     private static final class ContentBytes extends MessageToMessageDecoder<HttpContent> {
 
         @Override
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpUpstreamGateway.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpUpstreamGateway.java
@@ -23,21 +23,21 @@
 /**
  * Calls engines and plain services over HTTP.
  *
- * <p>Work that must run at most once gets a connection of its own: on a kept connection the other side may close just
- * when the request is sent, and nobody could tell whether it was read. The library's own retry is off for the same
- * reason.
+ * <p>Work that must run at most once uses a new connection: the upstream may close a pooled connection just as the
+ * request is sent, and then it is unknown whether the request was received. The HTTP library's own retries are disabled
+ * for the same reason.
  */
 public final class HttpUpstreamGateway implements UpstreamGateway, AutoCloseable {
 
-    private static final int CONNECT_MILLIS = 800;
-    private static final int MOST_CONNECTIONS = 512;
-    private static final Duration ACQUIRE = Duration.ofSeconds(2);
-    private static final Duration MOST_IDLE = Duration.ofSeconds(20);
-    private static final Duration CONTROL = Duration.ofSeconds(2);
-    private static final Duration LOOKS_IDLE = Duration.ofMinutes(2);
+    private static final int CONNECT_TIMEOUT_MILLIS = 800;
+    private static final int MAX_CONNECTIONS = 512;
+    private static final Duration ACQUIRE_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration MAX_IDLE = Duration.ofSeconds(20);
+    private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration QUERY_MAX_IDLE = Duration.ofMinutes(2);
 
-    private final ConnectionProvider kept;
-    private final ConnectionProvider looks;
+    private final ConnectionProvider pool;
+    private final ConnectionProvider queryPool;
     private final EngineCalls engines;
     private final PlainCalls plain;
     private final EngineControl control;
@@ -45,31 +45,31 @@
     /**
      * Creates a gateway.
      *
-     * @param self this process, named to engines as the owner of what they hold
+     * @param self this process, sent to engines as the owner of the streams that they hold
      */
     public HttpUpstreamGateway(ProcessId self) {
-        kept = ConnectionProvider.builder("upstream")
-                .maxConnections(MOST_CONNECTIONS)
-                .pendingAcquireTimeout(ACQUIRE)
-                .maxIdleTime(MOST_IDLE)
+        pool = ConnectionProvider.builder("upstream")
+                .maxConnections(MAX_CONNECTIONS)
+                .pendingAcquireTimeout(ACQUIRE_TIMEOUT)
+                .maxIdleTime(MAX_IDLE)
                 .build();
-        HttpClient pooled = configure(HttpClient.create(kept));
+        HttpClient pooled = configure(HttpClient.create(pool));
         HttpClient fresh = configure(HttpClient.newConnection());
         engines = new EngineCalls(self, pooled, fresh);
         plain = new PlainCalls(pooled, fresh);
-        looks = ConnectionProvider.builder("looks")
+        queryPool = ConnectionProvider.builder("looks")
                 .maxConnections(1)
                 .pendingAcquireMaxCount(-1)
-                .maxIdleTime(LOOKS_IDLE)
+                .maxIdleTime(QUERY_MAX_IDLE)
                 .build();
         control = new EngineControl(
-                configure(HttpClient.newConnection()).responseTimeout(CONTROL),
-                configure(HttpClient.create(looks)).responseTimeout(CONTROL));
+                configure(HttpClient.newConnection()).responseTimeout(CONTROL_TIMEOUT),
+                configure(HttpClient.create(queryPool)).responseTimeout(CONTROL_TIMEOUT));
     }
 
-    /** Sets what all clients share. */
+    /** Applies the options that all clients have in common. */
     private static HttpClient configure(HttpClient client) {
-        return client.disableRetry(true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+        return client.disableRetry(true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
     @Override
@@ -80,7 +80,7 @@
         return events.onErrorMap(UpstreamFailures::of);
     }
 
-    /** Returns the priority that engines are told: short prompts must not wait for long ones. */
+    /** Returns the priority that is sent to engines, so that short prompts need not wait for long ones. */
     static int priority(LengthClass lengthClass) {
         return lengthClass.ordinal();
     }
@@ -102,13 +102,13 @@
     }
 
     @Override
-    public Mono<Boolean> order(Upstream upstream, DesiredUpstreamState order) {
-        return control.order(upstream, order);
+    public Mono<Boolean> order(Upstream upstream, DesiredUpstreamState desired) {
+        return control.order(upstream, desired);
     }
 
     @Override
     public void close() {
-        kept.dispose();
-        looks.dispose();
+        pool.dispose();
+        queryPool.dispose();
     }
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/PlainCalls.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/PlainCalls.java
@@ -26,17 +26,17 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Calls plain services: any method and body, and any status is an answer. */
+/** Calls plain services with any method and body. Every status of a service is passed on to the caller. */
 final class PlainCalls {
 
-    /** Headers of replies that are about the connection to the service. */
-    private static final Set<String> KEPT_BACK =
+    /** Response headers that concern only the connection to the service and are not forwarded. */
+    private static final Set<String> HOP_BY_HOP =
             Set.of("connection", "content-length", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade");
 
     private final HttpClient pooled;
     private final HttpClient fresh;
 
-    /** Creates calls over kept and fresh connections. */
+    /** Creates a client that uses pooled and new connections. */
     PlainCalls(HttpClient pooled, HttpClient fresh) {
         this.pooled = pooled;
         this.fresh = fresh;
@@ -60,7 +60,7 @@
                 .responseConnection((response, connection) -> events(command.attempt(), response, connection));
     }
 
-    /** Reads the events of a reply, or the service's refusal. */
+    /** Reads the events of a response, or the service's refusal. */
     private static Flux<AttemptEvent> events(AttemptId attempt, HttpClientResponse response, Connection connection) {
         Refusal refusal = UpstreamFailures.refusalOf(response);
         if (refusal != null) {
@@ -82,18 +82,18 @@
                 .doFinally(end -> connection.dispose());
     }
 
-    /** Copies a piece of the reply. */
+    /** Copies a part of the response body. */
     private static AttemptSignal chunk(ByteBuf buffer, AtomicLong offset) {
         byte[] bytes = new byte[buffer.readableBytes()];
         buffer.readBytes(bytes);
         return new AttemptSignal.Chunk(offset.getAndAdd(bytes.length), bytes.length, bytes);
     }
 
-    /** Returns the headers that callers get. */
+    /** Returns the headers that are forwarded to the caller. */
     private static List<Header> headers(HttpClientResponse response) {
         List<Header> headers = new ArrayList<>();
         for (Map.Entry<String, String> entry : response.responseHeaders()) {
-            if (!KEPT_BACK.contains(entry.getKey().toLowerCase(Locale.ROOT))) {
+            if (!HOP_BY_HOP.contains(entry.getKey().toLowerCase(Locale.ROOT))) {
                 headers.add(new Header(entry.getKey(), entry.getValue()));
             }
         }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/UpstreamFailures.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/UpstreamFailures.java
@@ -11,16 +11,16 @@
 import reactor.netty.internal.shaded.reactor.pool.PoolAcquireTimeoutException;
 
 /**
- * Says what a failed call to an upstream means.
+ * Maps failed calls to upstreams to refusals.
  *
- * <p>Only a connection that was never made, or the upstream's own word, proves that a request was not run. A
- * connection that breaks later proves nothing, whether a byte of the answer came or not.
+ * <p>A request was certainly not run only if the connection was never established, or if the upstream states so. A
+ * connection that is lost later proves nothing, whether any byte of the response was received or not.
  */
 final class UpstreamFailures {
 
     private UpstreamFailures() {}
 
-    /** Turns an error of the HTTP library into a refusal. */
+    /** Maps an error of the HTTP library to a refusal. */
     static RefusedException of(Throwable error) {
         if (error instanceof RefusedException refused) {
             return refused;
@@ -34,7 +34,7 @@
         return refusal.toException();
     }
 
-    /** Returns the refusal that the upstream itself gave before running anything, or {@code null}. */
+    /** Returns the refusal that the upstream sent without running the request, or {@code null}. */
     static Refusal refusalOf(HttpClientResponse response) {
         if (response.responseHeaders().contains(EngineProtocol.LEAVING)) {
             return Refusal.notRun(RefusalReason.UPSTREAM_LEAVING, 0);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Model engines and plain services over HTTP.
+ * HTTP clients of engines and plain services.
  */
 package org.apricotstack.adapters.upstream;
