--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CallerEndpoint.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CallerEndpoint.java
@@ -7,14 +7,14 @@
 import org.apricotstack.core.id.Address;
 import org.apricotstack.core.ticket.Ticket;
 
-/** What a router does for callers. */
+/** Handles the requests of callers. */
 public interface CallerEndpoint {
 
     /**
-     * Tells which addresses to use.
+     * Returns the routers that a caller should use.
      *
-     * @param callerIp the caller's IP number, so that callers spread over the hosts
-     * @return addresses, the best first, and how long to keep them
+     * @param callerIp the caller's IP address, by which callers are distributed over the routers
+     * @return addresses in order of preference, and how long the caller may cache them
      */
     EntryAnswer entries(String callerIp);
 
@@ -27,25 +27,25 @@
     IssuedTicket issueTicket(String keyDigest);
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
      * @param request the request
-     * @return its name and its answer
+     * @return its id and its answer
      */
     Submission submit(EntryRequest request);
 
     /**
-     * Returns the longest body that is taken now.
+     * Returns the current size limit of request bodies.
      *
-     * @return bytes
+     * @return the limit in bytes
      */
     long maxBodyBytes();
 
     /**
-     * Addresses for a caller.
+     * The routers that a caller should use.
      *
-     * @param addresses the best first
-     * @param keepMillis how long to keep them, in milliseconds
+     * @param addresses their addresses in order of preference
+     * @param keepMillis how long the caller may cache them, in milliseconds
      */
     record EntryAnswer(List<Address> addresses, long keepMillis) {}
 
@@ -53,7 +53,7 @@
      * A ticket for a caller.
      *
      * @param ticket the ticket
-     * @param validMillis how long it may be spent, in milliseconds
+     * @param validMillis how long the ticket is valid, in milliseconds
      */
     record IssuedTicket(Ticket ticket, long validMillis) {}
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CallerServer.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CallerServer.java
@@ -30,21 +30,21 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Serves callers over HTTP. */
+/** HTTP server for callers. */
 public final class CallerServer implements AutoCloseable {
 
-    /** The header with the time limit, in milliseconds. */
+    /** Request header: the time limit, in milliseconds. */
     public static final String TIME_LIMIT_HEADER = "X-Time-Limit-Millis";
 
-    /** The header with the ticket. */
+    /** Request header: the ticket. */
     public static final String TICKET_HEADER = "Idempotency-Key";
 
     private static final String SERVICES = "/v1/services/";
     private static final String BEARER = "Bearer ";
-    private static final int MOST_HEADER_BYTES = 16 << 10;
+    private static final int MAX_HEADER_BYTES = 16 << 10;
 
-    /** Headers of callers that plain services do not get: they are about the connection, or are this system's own. */
-    private static final Set<String> KEPT_BACK = Set.of(
+    /** Request headers that are not forwarded to plain services: they concern the connection or this system. */
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "authorization",
             "connection",
             "content-length",
@@ -67,10 +67,10 @@
     /**
      * Starts a server.
      *
-     * @param listen the address; port 0 lets the machine choose
+     * @param listen the address; port 0 selects a free port
      * @param tls keys, or {@code null} for none
-     * @param endpoint does the work
-     * @param budget memory for bodies
+     * @param endpoint handles the requests
+     * @param budget memory for request bodies
      */
     public CallerServer(Address listen, SslContext tls, CallerEndpoint endpoint, ByteBudget budget) {
         this.endpoint = endpoint;
@@ -78,7 +78,7 @@
         HttpServer http = HttpServer.create()
                 .host(listen.ip())
                 .port(listen.port())
-                .httpRequestDecoder(spec -> spec.maxHeaderSize(MOST_HEADER_BYTES))
+                .httpRequestDecoder(spec -> spec.maxHeaderSize(MAX_HEADER_BYTES))
                 .route(this::routes);
         if (tls != null) {
             http = http.secure(spec -> spec.sslContext(tls));
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Lists the routes. */
+    /** Registers the routes. */
     private void routes(HttpServerRoutes routes) {
         routes.get("/v1/entries", this::entries)
                 .post("/v1/tickets", this::ticket)
@@ -101,7 +101,7 @@
                 .route(request -> request.uri().startsWith(SERVICES), this::plain);
     }
 
-    /** Answers which addresses to use. */
+    /** Sends the addresses of the routers that the caller should use. */
     private Publisher<Void> entries(HttpServerRequest request, HttpServerResponse response) {
         String ip = request.remoteAddress() == null
                 ? ""
@@ -124,11 +124,11 @@
                     .put("validMillis", issued.validMillis());
             return json(response.status(201), Json.write(document));
         } catch (RefusedException e) {
-            return AnswerWriter.problem(response, e.refusal(), null);
+            return ResponseWriter.problem(response, e.refusal(), null);
         }
     }
 
-    /** Takes a completion request. */
+    /** Handles a completion request. */
     private Publisher<Void> completion(HttpServerRequest request, HttpServerResponse response) {
         return withBody(request, response, body -> {
             CompletionScan scan = CompletionScan.of(body.bytes());
@@ -143,11 +143,11 @@
                     null,
                     request.requestHeaders().get(TIME_LIMIT_HEADER),
                     request.requestHeaders().get(TICKET_HEADER));
-            return new AnswerWriter(response, endpoint.submit(entry)).completion(scan.model(), scan.stream());
+            return new ResponseWriter(response, endpoint.submit(entry)).completion(scan.model(), scan.stream());
         });
     }
 
-    /** Takes a call to a plain service. */
+    /** Handles a request to a plain service. */
     private Publisher<Void> plain(HttpServerRequest request, HttpServerResponse response) {
         String rest = request.uri().substring(SERVICES.length());
         int slash = rest.indexOf('/');
@@ -155,10 +155,10 @@
         String path = slash < 0 ? "/" : rest.substring(slash);
         if (path.contains("..")) {
             Refusal refusal = Refusal.notRun(RefusalReason.INVALID_REQUEST, "The path may not contain \"..\".");
-            return AnswerWriter.problem(response, refusal, null);
+            return ResponseWriter.problem(response, refusal, null);
         }
         return withBody(request, response, body -> {
-            PlainCall call = new PlainCall(request.method().name(), path, passedOn(request));
+            PlainCall call = new PlainCall(request.method().name(), path, forwardedHeaders(request));
             EntryRequest entry = new EntryRequest(
                     keyDigest(request),
                     ServiceKind.PLAIN,
@@ -170,42 +170,42 @@
                     call,
                     request.requestHeaders().get(TIME_LIMIT_HEADER),
                     request.requestHeaders().get(TICKET_HEADER));
-            return new AnswerWriter(response, endpoint.submit(entry)).plain();
+            return new ResponseWriter(response, endpoint.submit(entry)).plain();
         });
     }
 
-    /** Reads the body, hands it on, and gives its memory back when the answer has ended. */
+    /** Reads the body, calls the handler, and releases the memory of the body when the response has ended. */
     private Publisher<Void> withBody(HttpServerRequest request, HttpServerResponse response, BodyHandler handler) {
-        return HeldBody.read(request, budget, endpoint.maxBodyBytes())
+        return RequestBody.read(request, budget, endpoint.maxBodyBytes())
                 .flatMap(body ->
                         Mono.defer(() -> Mono.from(handler.handle(body))).doFinally(end -> body.close()))
                 .onErrorResume(
                         RefusedException.class,
-                        error -> Mono.from(AnswerWriter.problem(response, error.refusal(), null)));
+                        error -> Mono.from(ResponseWriter.problem(response, error.refusal(), null)));
     }
 
-    /** Answers a request whose body was read. */
+    /** Handles a request whose body was read. */
     @FunctionalInterface
     private interface BodyHandler {
 
         /**
-         * Answers.
+         * Handles the request.
          *
          * @param body the body
-         * @return ends when the answer was sent
+         * @return completes when the response was sent
          */
-        Publisher<Void> handle(HeldBody body);
+        Publisher<Void> handle(RequestBody body);
     }
 
-    /** Returns the headers that a plain service gets. */
-    private static List<Header> passedOn(HttpServerRequest request) {
+    /** Returns the headers that are forwarded to a plain service. */
+    private static List<Header> forwardedHeaders(HttpServerRequest request) {
         return request.requestHeaders().entries().stream()
-                .filter(entry -> !KEPT_BACK.contains(entry.getKey().toLowerCase(Locale.ROOT)))
+                .filter(entry -> !NOT_FORWARDED.contains(entry.getKey().toLowerCase(Locale.ROOT)))
                 .map(entry -> new Header(entry.getKey(), entry.getValue()))
                 .toList();
     }
 
-    /** Returns the digest of the caller's key; the key itself goes no further than this method. */
+    /** Returns the digest of the caller's key. The key itself is not passed on or stored. */
     private static String keyDigest(HttpServerRequest request) {
         String header = request.requestHeaders().get(HttpHeaderNames.AUTHORIZATION);
         boolean bearer = header != null && header.regionMatches(true, 0, BEARER, 0, BEARER.length());
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionAnswer.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionFormat.java
@@ -7,25 +7,25 @@
 import org.apricotstack.adapters.json.Json;
 import org.apricotstack.core.stream.AttemptSignal;
 
-/** Writes the answers to completion requests, in the form that clients of such APIs read. */
-final class CompletionAnswer {
+/** Formats the responses to completion requests as clients of such APIs expect them. */
+final class CompletionFormat {
 
-    /** The end of a stream. */
+    /** The last event of a complete stream. */
     static final String DONE = "data: [DONE]\n\n";
 
-    /** A sign of life that clients pass over. */
+    /** A heartbeat; clients ignore it, as it is a comment. */
     static final String HEARTBEAT = ": heartbeat\n\n";
 
     private final String id;
     private final String model;
 
-    /** Creates a writer for one request. */
-    CompletionAnswer(String id, String model) {
+    /** Creates the format of one response. */
+    CompletionFormat(String id, String model) {
         this.id = id;
         this.model = model;
     }
 
-    /** Writes a signal as server-sent events. */
+    /** Formats a signal as server-sent events. */
     String event(AttemptSignal signal) {
         if (signal instanceof AttemptSignal.Chunk chunk) {
             return data(document(new String(chunk.data(), StandardCharsets.UTF_8), null));
@@ -36,23 +36,23 @@
         return HEARTBEAT;
     }
 
-    /** Writes a failure inside a stream; the stream then ends without its end mark. */
+    /** Formats a failure within a stream, which then ends without the {@code [DONE]} event. */
     static String failure(String problem) {
         return "event: error\ndata: " + problem + "\n\n";
     }
 
-    /** Writes a whole answer as one document. */
+    /** Formats a whole answer as one document. */
     String whole(ByteArrayOutputStream text, AttemptSignal.Completed completed) {
         String joined = text.toString(StandardCharsets.UTF_8);
         return Json.write(withUsage(document(joined, completed.finishReason()), completed));
     }
 
-    /** Frames a document as one event. */
+    /** Formats a document as one event. */
     private static String data(ObjectNode document) {
         return "data: " + Json.write(document) + "\n\n";
     }
 
-    /** Makes a document with one choice. */
+    /** Creates a document with one choice. */
     private ObjectNode document(String text, String finishReason) {
         ObjectNode document = Json.STRICT
                 .createObjectNode()
@@ -67,7 +67,7 @@
         return document;
     }
 
-    /** Adds the counts of tokens. */
+    /** Adds the token counts. */
     private static ObjectNode withUsage(ObjectNode document, AttemptSignal.Completed completed) {
         ObjectNode usage = document.putObject("usage")
                 .put("prompt_tokens", completed.promptTokens())
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionScan.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionScan.java
@@ -13,24 +13,24 @@
 import org.apricotstack.core.failure.RefusalReason;
 
 /**
- * What the routers need to know of a completion request. The body is scanned once and never turned into objects: a
- * prompt of a million tokens is skipped over, measured by its place in the bytes, and passed on as it came.
+ * The fields of a completion request that routers need. The body is scanned once and not converted to objects: a prompt
+ * of a million tokens is skipped, its length taken from its position in the bytes, and it is forwarded unchanged.
  *
- * @param model the name of the service that the caller asks for
+ * @param model the name of the requested service
  * @param promptTokens estimated length of the prompt, in tokens
- * @param maxTokens longest answer asked for, in tokens
- * @param stream whether the answer is wanted piece by piece
+ * @param maxTokens maximum length of the answer, in tokens
+ * @param stream whether the answer is to be streamed
  * @param fingerprints fingerprints of the leading blocks of the prompt, shortest prefix first
  */
 record CompletionScan(String model, long promptTokens, long maxTokens, boolean stream, List<Long> fingerprints) {
 
-    /** Bytes of text that make a token, as an estimate that engines correct. */
+    /** Estimated bytes of text per token; engines report the true count. */
     static final int BYTES_PER_TOKEN = 4;
 
-    /** Blocks that get a fingerprint; longer prefixes do not change a choice any more. */
-    private static final int MOST_FINGERPRINTS = 256;
+    /** Maximum number of blocks with a fingerprint; longer prefixes no longer change the choice of a group. */
+    private static final int MAX_FINGERPRINTS = 256;
 
-    /** Answer length if the caller states none, in tokens. */
+    /** Maximum length of the answer if the request states none, in tokens. */
     private static final long DEFAULT_MAX_TOKENS = 16;
 
     private static final int BLOCK_BYTES = PrefixIndex.TOKENS_PER_FINGERPRINT * BYTES_PER_TOKEN;
@@ -40,18 +40,18 @@
      * Scans a body.
      *
      * @param body the body
-     * @return what was found
-     * @throws org.apricotstack.core.failure.RefusedException if it is no completion request
+     * @return the fields
+     * @throws org.apricotstack.core.failure.RefusedException if it is not a completion request
      */
     static CompletionScan of(byte[] body) {
         try (JsonParser parser = FACTORY.createParser(body)) {
             return new Scanner(parser, body).scan();
         } catch (IOException e) {
-            throw invalid("The body is no JSON.");
+            throw invalid("The body is not valid JSON.");
         }
     }
 
-    /** Creates the refusal for a body that cannot be used. */
+    /** Creates the refusal of an invalid body. */
     private static RuntimeException invalid(String detail) {
         return Refusal.notRun(RefusalReason.INVALID_REQUEST, detail).toException();
     }
@@ -73,7 +73,7 @@
             this.body = body;
         }
 
-        /** Scans the fields of the one object. */
+        /** Scans the fields of the object. */
         private CompletionScan scan() throws IOException {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw invalid("The body must be one JSON object.");
@@ -82,13 +82,13 @@
                 field(parser.currentName());
             }
             if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
-                throw invalid("The body must be one JSON object and nothing after it.");
+                throw invalid("The body must be one JSON object with nothing after it.");
             }
             if (model == null) {
                 throw invalid("The field \"model\" must name a service.");
             }
             if (promptTokens < 1) {
-                throw invalid("The field \"prompt\" must be a text or a list of token numbers, not empty.");
+                throw invalid("The field \"prompt\" must be a non-empty string or list of token ids.");
             }
             return new CompletionScan(model, promptTokens, maxTokens, stream, fingerprints());
         }
@@ -105,7 +105,7 @@
             }
         }
 
-        /** Reads the longest answer. */
+        /** Reads the maximum length of the answer. */
         private long answerLength(JsonToken token) throws IOException {
             if (token != JsonToken.VALUE_NUMBER_INT || parser.getLongValue() < 1) {
                 throw invalid("The field \"max_tokens\" must be a whole number of at least 1.");
@@ -113,7 +113,7 @@
             return parser.getLongValue();
         }
 
-        /** Measures the prompt without reading it into memory. */
+        /** Computes the length of the prompt without reading it into memory. */
         private void prompt(JsonToken token) throws IOException {
             promptStart = parser.currentTokenLocation().getByteOffset() + 1;
             if (token == JsonToken.VALUE_STRING) {
@@ -127,19 +127,19 @@
                 }
                 promptEnd = parser.currentLocation().getByteOffset() - 1;
                 if (parser.currentToken() != JsonToken.END_ARRAY) {
-                    throw invalid("The field \"prompt\" must be a text or a list of token numbers.");
+                    throw invalid("The field \"prompt\" must be a string or a list of token ids.");
                 }
             } else {
-                throw invalid("The field \"prompt\" must be a text or a list of token numbers.");
+                throw invalid("The field \"prompt\" must be a string or a list of token ids.");
             }
         }
 
-        /** Computes the fingerprints of the whole leading blocks. */
+        /** Computes the fingerprints of the complete leading blocks. */
         private List<Long> fingerprints() {
             List<Long> result = new ArrayList<>();
             long previous = 0;
             for (long at = promptStart; at + BLOCK_BYTES <= promptEnd; at += BLOCK_BYTES) {
-                if (result.size() == MOST_FINGERPRINTS) {
+                if (result.size() == MAX_FINGERPRINTS) {
                     break;
                 }
                 previous = Hashing.murmur3_128()
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/ProblemDocument.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/ProblemDocument.java
@@ -5,10 +5,10 @@
 import org.apricotstack.core.failure.Refusal;
 import org.apricotstack.core.failure.RefusalReason;
 
-/** Problem documents (RFC 9457) for refusals. They hold no credential and no part of a prompt. */
+/** Problem documents (RFC 9457) for refusals. They contain no credentials and no part of a prompt. */
 public final class ProblemDocument {
 
-    /** The media type. */
+    /** The media type of problem documents. */
     public static final String MEDIA_TYPE = "application/problem+json";
 
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Returns the whole seconds after which to come back.
+     * Returns the value of the Retry-After header.
      *
      * @param refusal the refusal
-     * @return seconds, rounded up; 0 if not known
+     * @return seconds, rounded up; 0 if unknown
      */
     public static long retryAfterSeconds(Refusal refusal) {
         return (refusal.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
@@ -51,8 +51,8 @@
      * Writes the document.
      *
      * @param refusal the refusal
-     * @param request the name of the request, or {@code null}
-     * @return JSON in one line
+     * @param request the id of the request, or {@code null}
+     * @return JSON on one line
      */
     public static String write(Refusal refusal, String request) {
         RefusalReason reason = refusal.reason();
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/HeldBody.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/RequestBody.java
@@ -12,18 +12,18 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * The body of a request, held once and counted against the budget of the process until closed.
+ * The body of a request, held in memory once and charged to the memory budget of the process until closed.
  *
- * <p>A body whose length is announced is reserved before a byte is read, so that a refusal precedes exhaustion; one
- * of unknown length is reserved as it arrives.
+ * <p>If the length is declared, the memory is reserved before any byte is read, so that the request is refused before
+ * memory runs out. A body of unknown length is reserved as it arrives.
  */
-final class HeldBody implements AutoCloseable {
+final class RequestBody implements AutoCloseable {
 
-    /** When to come back if no memory is left, in milliseconds. */
+    /** Retry-after time if no memory is left, in milliseconds. */
     private static final long RETRY_MILLIS = 500;
 
     private final ByteBudget budget;
-    private final long mostBytes;
+    private final long maxBytes;
     private final AtomicBoolean closed = new AtomicBoolean();
     private long reserved;
     private byte[] fixed;
@@ -31,23 +31,23 @@
     private ByteArrayOutputStream growing;
 
     /** Creates an empty body. */
-    private HeldBody(ByteBudget budget, long mostBytes) {
+    private RequestBody(ByteBudget budget, long maxBytes) {
         this.budget = budget;
-        this.mostBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     /**
      * Reads the body of a request.
      *
      * @param request the request
-     * @param budget the memory for all bodies
-     * @param mostBytes the longest allowed body
+     * @param budget the memory for all request bodies
+     * @param maxBytes the maximum size of the body
      * @return the body, to be closed by the receiver; or an error with a {@code not_run} refusal
      */
-    static Mono<HeldBody> read(HttpServerRequest request, ByteBudget budget, long mostBytes) {
+    static Mono<RequestBody> read(HttpServerRequest request, ByteBudget budget, long maxBytes) {
         return Mono.defer(() -> {
-            HeldBody body = new HeldBody(budget, mostBytes);
-            body.announce(request.requestHeaders().getInt(HttpHeaderNames.CONTENT_LENGTH, -1));
+            RequestBody body = new RequestBody(budget, maxBytes);
+            body.reserveDeclared(request.requestHeaders().getInt(HttpHeaderNames.CONTENT_LENGTH, -1));
             return request.receive()
                     .doOnNext(body::append)
                     .then(Mono.fromSupplier(body::complete))
@@ -56,8 +56,8 @@
         });
     }
 
-    /** Reserves an announced length. */
-    private void announce(int length) {
+    /** Reserves memory for the declared length, if any; -1 means none. */
+    private void reserveDeclared(int length) {
         if (length >= 0) {
             reserve(length);
             fixed = new byte[length];
@@ -66,10 +66,10 @@
         }
     }
 
-    /** Reserves bytes or throws the refusal. */
+    /** Reserves bytes, or throws a refusal. */
     private void reserve(long bytes) {
-        if (reserved + bytes > mostBytes) {
-            throw Refusal.notRun(RefusalReason.BODY_TOO_LARGE, "At most " + mostBytes + " bytes.")
+        if (reserved + bytes > maxBytes) {
+            throw Refusal.notRun(RefusalReason.BODY_TOO_LARGE, "At most " + maxBytes + " bytes.")
                     .toException();
         }
         if (!budget.tryReserve(bytes)) {
@@ -79,7 +79,7 @@
         reserved += bytes;
     }
 
-    /** Appends what arrived. */
+    /** Appends received bytes. */
     private void append(ByteBuf buffer) {
         int count = buffer.readableBytes();
         if (fixed != null) {
@@ -93,13 +93,13 @@
         growing.write(bytes, 0, count);
     }
 
-    /** Ends the reading. */
-    private HeldBody complete() {
+    /** Completes the body. */
+    private RequestBody complete() {
         if (fixed == null) {
             fixed = growing.toByteArray();
             growing = null;
         } else if (filled < fixed.length) {
-            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "The body is shorter than announced.")
+            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "The body is shorter than its Content-Length.")
                     .toException();
         }
         return this;
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/AnswerWriter.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/ResponseWriter.java
@@ -19,27 +19,27 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Sends the answer of one request.
+ * Sends the HTTP response to one request.
  *
- * <p>Status and headers are sent with the first piece of the answer, so a refusal before it is a problem document
- * with its own status. A failure after it cannot change the status any more: a stream of events then ends with an
- * error event and without its end mark, and any other answer is broken off, so that the caller cannot take it for
- * whole.
+ * <p>Status and headers are sent with the first part of the answer, so a refusal before it is a problem document with
+ * its own status. A later failure cannot change the status any more: an event stream then ends with an error event and
+ * without the {@code [DONE]} event, and any other response is aborted, so that the caller does not
+ * take it for complete.
  */
-final class AnswerWriter {
+final class ResponseWriter {
 
     private static final String REQUEST_HEADER = "X-Request-Id";
 
     private final HttpServerResponse response;
     private final Submission submission;
 
-    /** Creates a writer. */
-    AnswerWriter(HttpServerResponse response, Submission submission) {
+    /** Creates a writer for one response. */
+    ResponseWriter(HttpServerResponse response, Submission submission) {
         this.response = response;
         this.submission = submission;
     }
 
-    /** Sends a refusal. */
+    /** Sends a refusal as a problem document. */
     static Publisher<Void> problem(HttpServerResponse response, Refusal refusal, String request) {
         response.status(ProblemDocument.status(refusal.reason()))
                 .header(HttpHeaderNames.CONTENT_TYPE, ProblemDocument.MEDIA_TYPE);
@@ -52,12 +52,12 @@
     /** Sends a completion. */
     Publisher<Void> completion(String model, boolean stream) {
         response.header(REQUEST_HEADER, submission.id().value());
-        CompletionAnswer answer = new CompletionAnswer(submission.id().value(), model);
-        return stream ? streamed(answer) : whole(answer);
+        CompletionFormat format = new CompletionFormat(submission.id().value(), model);
+        return stream ? streamed(format) : whole(format);
     }
 
     /** Sends a completion as one document. */
-    private Publisher<Void> whole(CompletionAnswer answer) {
+    private Publisher<Void> whole(CompletionFormat format) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         return submission
                 .answer()
@@ -69,13 +69,13 @@
                 .ofType(AttemptSignal.Completed.class)
                 .single()
                 .flatMap(completed -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
-                        .sendString(Mono.just(answer.whole(text, completed)))
+                        .sendString(Mono.just(format.whole(text, completed)))
                         .then())
                 .onErrorResume(error -> Mono.from(problem(error)));
     }
 
-    /** Sends a completion piece by piece. */
-    private Publisher<Void> streamed(CompletionAnswer answer) {
+    /** Sends a completion as server-sent events. */
+    private Publisher<Void> streamed(CompletionFormat format) {
         return submission
                 .answer()
                 .skipUntil(signal -> !(signal instanceof AttemptSignal.Heartbeat))
@@ -83,17 +83,17 @@
                     if (!first.hasValue()) {
                         return Flux.from(refused(first));
                     }
-                    Flux<ByteBuf> events = all.map(answer::event)
-                            .onErrorResume(error -> Mono.just(CompletionAnswer.failure(ProblemDocument.write(
+                    Flux<ByteBuf> events = all.map(format::event)
+                            .onErrorResume(error -> Mono.just(CompletionFormat.failure(ProblemDocument.write(
                                     refusal(error), submission.id().value()))))
-                            .map(AnswerWriter::buffer);
+                            .map(ResponseWriter::buffer);
                     response.sse();
                     return Flux.from(response.send(events, buffer -> true).then());
                 })
                 .then();
     }
 
-    /** Sends the reply of a plain service. */
+    /** Sends the response of a plain service. */
     Publisher<Void> plain() {
         response.header(REQUEST_HEADER, submission.id().value());
         return submission
@@ -107,14 +107,14 @@
                     for (Header header : head.headers()) {
                         response.header(header.name(), header.value());
                     }
-                    Flux<ByteBuf> pieces =
+                    Flux<ByteBuf> chunks =
                             all.ofType(AttemptSignal.Chunk.class).map(chunk -> Unpooled.wrappedBuffer(chunk.data()));
-                    return Flux.from(response.send(pieces, buffer -> true).then());
+                    return Flux.from(response.send(chunks, buffer -> true).then());
                 })
                 .then();
     }
 
-    /** Sends the refusal of an answer that ended before its first piece. */
+    /** Sends the refusal of an answer that ended before its first part. */
     private Publisher<Void> refused(Signal<? extends AttemptSignal> first) {
         Throwable error = first.getThrowable();
         return problem(error == null ? Refusal.unknown(RefusalReason.ANSWER_CUT).toException() : error);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Callers over HTTP.
+ * HTTP server for callers.
  */
 package org.apricotstack.adapters.caller;
--- a/apricotstack-adapters/src/test/java/org/apricotstack/adapters/caller/CompletionScanTest.java
+++ b/apricotstack-adapters/src/test/java/org/apricotstack/adapters/caller/CompletionScanTest.java
@@ -29,7 +29,7 @@
                 "{\"model\":\"s\",\"x\":{\"prompt\":\"no\"},\"prompt\":[1,22,333]}|3|16|false",
                 "{\"model\" : \"s\" , \"prompt\" : \"a\\\"b\\\\\" , \"stream\" : null}|2|16|false"
             })
-    void readsWhatIsNeeded(String body, long promptTokens, long maxTokens, boolean stream) {
+    void readsModelLengthsAndStreaming(String body, long promptTokens, long maxTokens, boolean stream) {
         CompletionScan scan = scan(body);
         assertThat(scan.model()).isEqualTo("s");
         assertThat(scan.promptTokens()).isEqualTo(promptTokens);
@@ -54,7 +54,7 @@
                 "{\"model\":\"s\",\"prompt\":\"x\",\"max_tokens\":1.5}",
                 "{\"model\":\"s\",\"prompt\":\"x\"} x"
             })
-    void refusesWhatIsNoCompletionRequest(String body) {
+    void refusesInvalidCompletionRequests(String body) {
         assertThatExceptionOfType(RefusedException.class)
                 .isThrownBy(() -> scan(body))
                 .satisfies(e -> assertThat(e.refusal().reason()).isEqualTo(RefusalReason.INVALID_REQUEST));
@@ -71,7 +71,7 @@
         assertThat(two.fingerprints().get(1)).isNotEqualTo(one.fingerprints().get(1));
     }
 
-    /** Whatever the bytes, they are read or refused. */
+    /** Any bytes are either scanned or refused. */
     @Property(tries = 500, seed = "7")
     void failsOnlyWithTheTypedRefusal(@ForAll byte[] noise) {
         byte[] body = noise;
--- a/apricotstack-adapters/src/test/java/org/apricotstack/adapters/caller/ProblemDocumentTest.java
+++ b/apricotstack-adapters/src/test/java/org/apricotstack/adapters/caller/ProblemDocumentTest.java
@@ -15,7 +15,7 @@
 
     @ParameterizedTest
     @EnumSource(RefusalReason.class)
-    void saysCodeOutcomeRemedyAndWhenToComeBack(RefusalReason reason) throws IOException {
+    void containsCodeOutcomeRemedyAndRetryTime(RefusalReason reason) throws IOException {
         JsonNode document = Json.STRICT.readTree(ProblemDocument.write(Refusal.notRun(reason, 1_500), "r1"));
         assertThat(document.path("code").asText()).isEqualTo(reason.code());
         assertThat(document.path("outcome").asText()).isEqualTo("not_run");
