--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/ConfigurationDocuments.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/ConfigurationDocuments.java
@@ -26,7 +26,7 @@
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.id.UpstreamId;
 
-/** Turns one configuration document into its typed value; the key tells which kind it is. */
+/** Converts a configuration document to a typed value. The key determines the kind of the document. */
 final class ConfigurationDocuments {
 
     private static final String KEYS = "a key accounts/NAME, services/NAME, models/NAME, groups/NAME, upstreams/NAME, "
@@ -34,7 +34,7 @@
     private static final String NAME = "a name";
     private static final String KIND = "\"completion\" or \"plain\"";
     private static final long DAY_MILLIS = 86_400_000L;
-    private static final long MANY = 1L << 40;
+    private static final long MAX_COUNT = 1L << 40;
 
     private ConfigurationDocuments() {}
 
@@ -43,8 +43,8 @@
      *
      * @param key its key
      * @param tree its content
-     * @param problems takes the problems
-     * @return the typed value, which is not to be used if there are problems; {@code null} for an unknown key
+     * @param problems receives the problems
+     * @return the typed value, invalid if there are problems; {@code null} for an unknown key
      */
     static Object read(String key, JsonNode tree, List<Problem> problems) {
         int slash = key.indexOf('/');
@@ -80,8 +80,8 @@
                 new ClientAccountId(name),
                 fields.list("keyDigests", true, "a SHA-256 digest in hexadecimal", KeyDigests::require),
                 Set.copyOf(fields.list("services", true, NAME, ServiceId::new)),
-                fields.number("tokensPerSecond", null, 1, MANY),
-                fields.number("burstTokens", null, 1, MANY),
+                fields.number("tokensPerSecond", null, 1, MAX_COUNT),
+                fields.number("burstTokens", null, 1, MAX_COUNT),
                 (int) fields.number("maxConcurrent", null, 1, 1_000_000));
     }
 
@@ -121,7 +121,7 @@
                 new UpstreamId(name),
                 fields.value("group", null, NAME, GroupId::new),
                 fields.value("address", null, "an address IP:PORT", Address::parse),
-                fields.number("memoryTokens", 0L, 0, MANY),
+                fields.number("memoryTokens", 0L, 0, MAX_COUNT),
                 (int) fields.number("maxStreams", null, 1, 1_000_000),
                 fields.flag("checksOrders", true),
                 fields.flag("refusesOldFencing", true),
@@ -138,7 +138,7 @@
                 fields.fraction("limitFactor", 1.0, 0.01, 100));
     }
 
-    /** Reads a document of which there is one in the fleet. */
+    /** Reads a document that applies to the whole fleet. */
     private static Object fleet(String name, JsonFields fields) {
         return switch (name) {
             case "preset" -> fields.value("preset", null, NAME, PresetId::new);
@@ -147,21 +147,21 @@
         };
     }
 
-    /** Reads the limits of the fleet; all have defaults. */
+    /** Reads the limits of the fleet, all of which have defaults. */
     private static FleetLimits limits(JsonFields fields) {
-        FleetLimits usual = FleetLimits.DEFAULT;
+        FleetLimits defaults = FleetLimits.DEFAULT;
         return new FleetLimits(
-                fields.number("shortTokens", usual.shortTokens(), 1, MANY),
-                fields.number("longTokens", usual.longTokens(), 1, MANY),
-                fields.number("maxBodyBytes", usual.maxBodyBytes(), 1, 1L << 30),
-                fields.number("maxAnswerTokens", usual.maxAnswerTokens(), 1, MANY),
-                fields.number("entryKeepMillis", usual.entryKeepMillis(), 100, DAY_MILLIS),
-                fields.number("ticketValidMillis", usual.ticketValidMillis(), 100, DAY_MILLIS),
-                fields.number("heartbeatMillis", usual.heartbeatMillis(), 20, 60_000),
-                (int) fields.number("maxQueuedItems", (long) usual.maxQueuedItems(), 1, 1_000_000),
-                fields.number("maxQueuedTokens", usual.maxQueuedTokens(), 1, MANY),
-                (int) fields.number("maxAttempts", (long) usual.maxAttempts(), 1, 16),
-                fields.fraction("retryShare", usual.retryShare(), 0, 1));
+                fields.number("shortTokens", defaults.shortTokens(), 1, MAX_COUNT),
+                fields.number("longTokens", defaults.longTokens(), 1, MAX_COUNT),
+                fields.number("maxBodyBytes", defaults.maxBodyBytes(), 1, 1L << 30),
+                fields.number("maxAnswerTokens", defaults.maxAnswerTokens(), 1, MAX_COUNT),
+                fields.number("entryKeepMillis", defaults.entryKeepMillis(), 100, DAY_MILLIS),
+                fields.number("ticketValidMillis", defaults.ticketValidMillis(), 100, DAY_MILLIS),
+                fields.number("heartbeatMillis", defaults.heartbeatMillis(), 20, 60_000),
+                (int) fields.number("maxQueuedItems", (long) defaults.maxQueuedItems(), 1, 1_000_000),
+                fields.number("maxQueuedTokens", defaults.maxQueuedTokens(), 1, MAX_COUNT),
+                (int) fields.number("maxAttempts", (long) defaults.maxAttempts(), 1, 16),
+                fields.fraction("retryShare", defaults.retryShare(), 0, 1));
     }
 
     /** Reads the kind of a service or group. */
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/DocumentDeltas.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/DocumentDeltas.java
@@ -15,7 +15,7 @@
 import org.apricotstack.core.replication.Document;
 import org.apricotstack.core.replication.DocumentDelta;
 
-/** The JSON form of deltas, as the platform sends them. */
+/** The JSON form in which the platform sends deltas. */
 public final class DocumentDeltas {
 
     private DocumentDeltas() {}
@@ -47,7 +47,7 @@
      *
      * @param text its JSON form
      * @return the delta
-     * @throws ApricotException with {@link ErrorCode#PLATFORM_PROTOCOL} if the text has another form
+     * @throws ApricotException with {@link ErrorCode#PLATFORM_PROTOCOL} if the text is not a delta
      */
     public static DocumentDelta read(byte[] text) {
         try {
@@ -73,7 +73,7 @@
         } catch (IOException | IllegalArgumentException e) {
             throw new ApricotException(
                     ErrorCode.PLATFORM_PROTOCOL,
-                    "The platform's answer is no delta of documents; check its address and version.",
+                    "The response of the platform is not a delta of documents; check its address and version.",
                     e);
         }
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/JsonConfigurationValidator.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/JsonConfigurationValidator.java
@@ -27,11 +27,11 @@
 import org.apricotstack.core.replication.Validated;
 
 /**
- * Reads and checks the configuration documents.
+ * Parses and validates the configuration documents.
  *
- * <p>Documents that did not change since the last version are not read again: with thousands of client accounts and
- * upstreams, and a change every few seconds, reading all of them each time would take more than the whole budget for
- * control work.
+ * <p>Documents that did not change since the last version are not parsed again: with thousands of client accounts and
+ * upstreams and a change every few seconds, parsing all of them each time would exceed the entire CPU budget for
+ * control-plane work.
  */
 public final class JsonConfigurationValidator implements DocumentValidator<FleetConfiguration> {
 
@@ -61,7 +61,7 @@
                 : new Validated<>(null, problems);
     }
 
-    /** Reads one document. */
+    /** Parses one document. */
     private static Parsed parse(Document document) {
         List<Problem> problems = new ArrayList<>();
         Object value = null;
@@ -75,15 +75,15 @@
     }
 
     /**
-     * A document that was read.
+     * A parsed document.
      *
      * @param document the document
      * @param value its typed value, or {@code null} if there are problems
-     * @param problems what is wrong with it by itself
+     * @param problems the problems of this document, without cross-references
      */
     private record Parsed(Document document, Object value, List<Problem> problems) {}
 
-    /** Collects typed documents. */
+    /** Collects typed values. */
     private static final class PartsBuilder {
         private final ConfigurationParts parts = new ConfigurationParts(
                 new TreeMap<>(),
@@ -94,10 +94,10 @@
                 new TreeMap<>(),
                 null,
                 FleetLimits.DEFAULT);
-        private PresetId presetInForce;
+        private PresetId activePreset;
         private FleetLimits limits = FleetLimits.DEFAULT;
 
-        /** Adds one typed document. */
+        /** Adds a typed value. */
         private void add(Object value) {
             if (value instanceof ClientAccount account) {
                 parts.accounts().put(account.id(), account);
@@ -112,13 +112,13 @@
             } else if (value instanceof Preset preset) {
                 parts.presets().put(preset.id(), preset);
             } else if (value instanceof PresetId id) {
-                presetInForce = id;
+                activePreset = id;
             } else if (value instanceof FleetLimits published) {
                 limits = published;
             }
         }
 
-        /** Returns the parts. */
+        /** Returns the collected parts. */
         private ConfigurationParts build() {
             return new ConfigurationParts(
                     parts.accounts(),
@@ -127,7 +127,7 @@
                     parts.groups(),
                     parts.upstreams(),
                     parts.presets(),
-                    presetInForce,
+                    activePreset,
                     limits);
         }
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/JsonRosterValidator.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/JsonRosterValidator.java
@@ -23,7 +23,7 @@
 import org.apricotstack.core.replication.DocumentValidator;
 import org.apricotstack.core.replication.Validated;
 
-/** Reads and checks the list of live and leaving hosts: documents {@code routers/NAME} and {@code upstreams/NAME}. */
+/** Parses and validates the roster: documents {@code routers/NAME} and {@code upstreams/NAME}. */
 public final class JsonRosterValidator implements DocumentValidator<Roster> {
 
     private static final String ADDRESS = "an address IP:PORT";
@@ -41,20 +41,20 @@
                 : new Validated<>(null, problems);
     }
 
-    /** Reads one document. */
+    /** Parses one document. */
     private static void read(
             Document document, SortedMap<HostId, RosterHost> routers, Set<UpstreamId> leaving, List<Problem> problems) {
         String key = document.key();
         String name = key.substring(key.indexOf('/') + 1);
-        boolean router = key.startsWith("routers/");
-        if (!Names.isValid(name) || !router && !key.startsWith("upstreams/")) {
+        boolean isRouter = key.startsWith("routers/");
+        if (!Names.isValid(name) || !isRouter && !key.startsWith("upstreams/")) {
             problems.add(new Problem(key, "", "a key of another form", "routers/NAME or upstreams/NAME"));
             return;
         }
         try {
             JsonFields fields = new JsonFields(key, "", Json.COMMENTED.readTree(document.body()), problems::add);
             boolean isLeaving = fields.flag("leaving", false);
-            if (router) {
+            if (isRouter) {
                 RosterHost host = new RosterHost(
                         new HostId(name),
                         fields.value("dataCentre", null, "a name", DataCentreId::new),
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/configuration/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The published configuration and roster, written in JSON.
+ * The published configuration and roster in JSON.
  */
 package org.apricotstack.adapters.configuration;
--- a/apricotstack-adapters/src/test/java/org/apricotstack/adapters/configuration/JsonConfigurationValidatorTest.java
+++ b/apricotstack-adapters/src/test/java/org/apricotstack/adapters/configuration/JsonConfigurationValidatorTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void readsAWholeConfiguration() {
+    void acceptsAValidConfiguration() {
         Validated<FleetConfiguration> validated = validate(VALID);
         assertThat(validated.problems()).isEmpty();
         assertThat(validated.value().accountByKeyDigest(KeyDigests.of("k")).id().value())
@@ -70,7 +70,7 @@
                 "fleet/limits|{\"shortTokens\":5,\"longTokens\":5}|fleet/limits: shortTokens: found 5",
                 "presets/p|{\"slowdownWeight\":2,\"shortShare\":0}|slowdownWeight: found 2"
             })
-    void refusesTheWholeVersionForOneProblem(String key, String body, String problem) {
+    void rejectsTheWholeVersionForASingleProblem(String key, String body, String problem) {
         Map<String, String> bodies = new TreeMap<>(VALID);
         bodies.put(key, body);
         Validated<FleetConfiguration> validated = validate(bodies);
@@ -79,15 +79,15 @@
     }
 
     @Test
-    void doesNotLetOneKeyOpenTwoAccounts() {
+    void rejectsAKeyThatBelongsToTwoAccounts() {
         Map<String, String> bodies = new TreeMap<>(VALID);
         bodies.put("accounts/b", VALID.get("accounts/a"));
         assertThat(validate(bodies).problems()).hasSize(1);
     }
 
-    /** Whatever a document holds, there is a configuration or a list of problems, and never another error. */
+    /** Any document yields either a configuration or a list of problems, and no other error. */
     @Property(tries = 300, seed = "7")
-    void neverFailsInAnotherWay(@ForAll String key, @ForAll String body) {
+    void returnsAConfigurationOrProblemsForAnyDocument(@ForAll String key, @ForAll String body) {
         Map<String, String> bodies = new TreeMap<>(VALID);
         bodies.put(key, body);
         Validated<FleetConfiguration> validated = validate(bodies);
