--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/RouterSettings.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/RouterSettings.java
@@ -9,18 +9,18 @@
 /**
  * Settings of one router process.
  *
- * @param host the name of its host
- * @param dataCentre where it runs
- * @param callerAddress where callers connect
- * @param peerAddress where other routers connect
- * @param adminAddress where operators connect
- * @param platformAddresses where the platform answers, in the order in which they are tried
- * @param seedPeers addresses of other routers, asked for the configuration before the roster is known
+ * @param host the name of the host
+ * @param dataCentre the data centre of the host
+ * @param callerAddress the address on which callers are served
+ * @param peerAddress the address on which other routers are served
+ * @param adminAddress the address on which operators are served
+ * @param platformAddresses addresses of the platform, tried in this order
+ * @param seedPeers addresses of other routers, from which the configuration is fetched before the roster is known
  * @param adminKeyDigest SHA-256 of the operators' key, lower-case hexadecimal
- * @param bodyMemoryBytes bytes of bodies held at once
- * @param timings times of the protocol between routers
- * @param callerTls keys towards callers and operators, or {@code null} for none
- * @param peerTls keys towards other routers, or {@code null} for none
+ * @param bodyMemoryBytes memory for request bodies, in bytes
+ * @param timings timings of the protocol between routers
+ * @param callerTls TLS files for callers and operators, or {@code null} for none
+ * @param peerTls TLS files for other routers, or {@code null} for none
  */
 public record RouterSettings(
         HostId host,
@@ -37,14 +37,14 @@
         TlsFiles peerTls) {
 
     /**
-     * Times of the protocol between routers.
+     * Timings of the protocol between routers.
      *
-     * @param probeMillis time between probes of one router, in milliseconds
-     * @param probeTimeoutMillis time for the answer to a probe, in milliseconds
-     * @param suspicionMillis time from suspicion to death, in milliseconds
-     * @param startWaitMillis time in which a fresh process waits for serving peers, in milliseconds
-     * @param watchMillis longest wait of one call to the platform, in milliseconds
-     * @param careMillis time between looks after the engines of owned groups, in milliseconds
+     * @param probeMillis time between probes that this router sends, in milliseconds
+     * @param probeTimeoutMillis timeout of a probe, in milliseconds
+     * @param suspicionMillis time after which a suspected router is declared dead, in milliseconds
+     * @param startWaitMillis how long a new process waits for peers that serve, in milliseconds
+     * @param watchMillis maximum duration of a long poll of the platform, in milliseconds
+     * @param careMillis time between reconciliations of the engines of owned groups, in milliseconds
      */
     public record Timings(
             long probeMillis,
@@ -54,16 +54,16 @@
             long watchMillis,
             long careMillis) {
 
-        /** Times that hold where the settings state none. */
+        /** Defaults for timings that the settings do not state. */
         public static final Timings DEFAULT = new Timings(1_000, 400, 2_000, 2_000, 25_000, 15_000);
     }
 
     /**
      * Files with keys and certificates in PEM form.
      *
-     * @param certificateFile this process's certificate and those that lead to its root
-     * @param keyFile this process's private key
-     * @param trustFile certificates that the other side's must lead to
+     * @param certificateFile the certificate chain of this process
+     * @param keyFile the private key of this process
+     * @param trustFile the certificate authorities that are trusted for the other side
      */
     public record TlsFiles(String certificateFile, String keyFile, String trustFile) {}
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/SettingsReader.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/SettingsReader.java
@@ -24,8 +24,8 @@
 
     private static final String ADDRESS = "an address IP:PORT";
     private static final String NAME = "a name of letters, digits, dots, hyphens, underscores and colons";
-    private static final long LEAST_BODY_MEMORY = 1L << 20;
-    private static final long MOST_BODY_MEMORY = 1L << 36;
+    private static final long MIN_BODY_MEMORY = 1L << 20;
+    private static final long MAX_BODY_MEMORY = 1L << 36;
     private static final long DEFAULT_BODY_MEMORY = 256L << 20;
     private static final long MAX_MILLIS = 600_000;
 
@@ -56,7 +56,7 @@
     /**
      * Reads a text.
      *
-     * @param source its name, for problems
+     * @param source the name of its source, for problems
      * @param text the text
      * @return the settings
      * @throws ApricotException with {@link ErrorCode#INVALID_SETTINGS} and every problem
@@ -91,7 +91,7 @@
                 fields.list("platformAddresses", true, ADDRESS, Address::parse),
                 fields.list("seedPeers", false, ADDRESS, Address::parse),
                 fields.value("adminKeyDigest", null, "a SHA-256 digest in hexadecimal", KeyDigests::require),
-                fields.number("bodyMemoryBytes", DEFAULT_BODY_MEMORY, LEAST_BODY_MEMORY, MOST_BODY_MEMORY),
+                fields.number("bodyMemoryBytes", DEFAULT_BODY_MEMORY, MIN_BODY_MEMORY, MAX_BODY_MEMORY),
                 timings(fields.object("timings")),
                 tls(fields.object("callerTls")),
                 tls(fields.object("peerTls")));
@@ -102,24 +102,24 @@
         return settings;
     }
 
-    /** Reads the times; all have defaults. */
+    /** Reads the timings, all of which have defaults. */
     private static Timings timings(JsonFields fields) {
-        Timings usual = Timings.DEFAULT;
+        Timings defaults = Timings.DEFAULT;
         if (fields == null) {
-            return usual;
+            return defaults;
         }
         Timings timings = new Timings(
-                fields.number("probeMillis", usual.probeMillis(), 10, MAX_MILLIS),
-                fields.number("probeTimeoutMillis", usual.probeTimeoutMillis(), 10, MAX_MILLIS),
-                fields.number("suspicionMillis", usual.suspicionMillis(), 10, MAX_MILLIS),
-                fields.number("startWaitMillis", usual.startWaitMillis(), 0, MAX_MILLIS),
-                fields.number("watchMillis", usual.watchMillis(), 10, MAX_MILLIS),
-                fields.number("careMillis", usual.careMillis(), 100, MAX_MILLIS));
+                fields.number("probeMillis", defaults.probeMillis(), 10, MAX_MILLIS),
+                fields.number("probeTimeoutMillis", defaults.probeTimeoutMillis(), 10, MAX_MILLIS),
+                fields.number("suspicionMillis", defaults.suspicionMillis(), 10, MAX_MILLIS),
+                fields.number("startWaitMillis", defaults.startWaitMillis(), 0, MAX_MILLIS),
+                fields.number("watchMillis", defaults.watchMillis(), 10, MAX_MILLIS),
+                fields.number("careMillis", defaults.careMillis(), 100, MAX_MILLIS));
         fields.finish();
         return timings;
     }
 
-    /** Reads the names of key files; all are required once the object is there. */
+    /** Reads the names of the TLS files. If the object is present, all of them are required. */
     private static TlsFiles tls(JsonFields fields) {
         if (fields == null) {
             return null;
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Settings of one process, written in JSON with comments.
+ * Settings of one router process, in JSON with comments.
  */
 package org.apricotstack.adapters.settings;
--- a/apricotstack-adapters/src/test/java/org/apricotstack/adapters/settings/SettingsReaderTest.java
+++ b/apricotstack-adapters/src/test/java/org/apricotstack/adapters/settings/SettingsReaderTest.java
@@ -27,7 +27,7 @@
                     .replace("DIGEST", KeyDigests.of("k"));
 
     @Test
-    void readsCommentsAndFillsInDefaults() {
+    void acceptsCommentsAndAppliesDefaults() {
         RouterSettings settings = SettingsReader.read("s", VALID);
         assertThat(settings.host().value()).isEqualTo("r1");
         assertThat(settings.timings()).isEqualTo(RouterSettings.Timings.DEFAULT);
@@ -49,7 +49,7 @@
                 "\"dataCentre\": \"dc\"|\"timings\": {\"probMillis\": 5}|timings.probMillis: found an unknown field",
                 "\"dataCentre\": \"dc\"|\"peerTls\": {}|peerTls.keyFile: found nothing"
             })
-    void namesWhatIsWrongAndWhatIsAllowed(String valid, String broken, String problem) {
+    void reportsTheFoundAndTheAllowedValue(String valid, String broken, String problem) {
         assertThatExceptionOfType(ApricotException.class)
                 .isThrownBy(() -> SettingsReader.read("s", VALID.replace(valid, broken)))
                 .withMessageContaining(problem)
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void listsAllProblemsInOneRun() {
+    void reportsAllProblemsAtOnce() {
         assertThatExceptionOfType(ApricotException.class)
                 .isThrownBy(() -> SettingsReader.read("s", "{\"host\": 1, \"x\": 2}"))
                 .withMessageContaining("host: found 1")
@@ -65,9 +65,9 @@
                 .withMessageContaining("x: found an unknown field");
     }
 
-    /** Whatever the text, there are settings or the one typed error. */
+    /** Any text yields either settings or the INVALID_SETTINGS error. */
     @Property(tries = 400, seed = "7")
-    void failsOnlyWithTheTypedError(@ForAll String noise, @ForAll int place) {
+    void throwsOnlyInvalidSettingsForAnyText(@ForAll String noise, @ForAll int place) {
         int at = Math.floorMod(place, VALID.length());
         String text = VALID.substring(0, at) + noise + VALID.substring(at);
         try {
