--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/Json.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/Json.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** The JSON readers and writers of the program. */
+/** The JSON mappers that all adapters use. */
 public final class Json {
 
     /** Reads and writes strict JSON. */
@@ -20,7 +20,7 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    /** Reads JSON with comments and trailing commas, as operators write it. */
+    /** Reads JSON with comments and trailing commas, for files that operators write. */
     public static final ObjectMapper COMMENTED = JsonMapper.builder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
             .enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Says where and why a text is no JSON, without repeating the text.
+     * Describes where and why a text is not valid JSON, without quoting the text.
      *
-     * @param error the reader's error
+     * @param error the parse error
      * @return a short description
      */
     public static String describe(IOException error) {
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/JsonFields.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/JsonFields.java
@@ -14,18 +14,18 @@
 import org.apricotstack.core.failure.ApricotException;
 
 /**
- * Reads the fields of one JSON object and collects every problem, so that an operator sees all of them in one run.
+ * Reads the fields of a JSON object and collects all problems, so that an operator sees them at once.
  *
- * <p>Each read names the field; {@link #finish()} then reports fields that nobody asked for, each with the nearest
- * known name.
+ * <p>Each read registers the name of a field; {@link #finish()} then reports the unknown fields, each with the most
+ * similar known name.
  */
 public final class JsonFields {
 
-    /** A longer distance than this makes two names strangers. */
-    private static final int NEAR = 4;
+    /** Maximum edit distance at which a known name is suggested. */
+    private static final int MAX_SUGGESTION_DISTANCE = 4;
 
-    /** Longer values are not repeated in a problem. */
-    private static final int MOST_SHOWN = 60;
+    /** Longer values are truncated in problems, in characters. */
+    private static final int MAX_SHOWN_LENGTH = 60;
 
     private final String source;
     private final String prefix;
@@ -37,9 +37,9 @@
      * Creates a reader.
      *
      * @param source the file or document, for problems
-     * @param prefix path of the object in it; empty for the whole document
+     * @param prefix path of the object within the source; empty for the whole document
      * @param object the object
-     * @param problems takes the problems
+     * @param problems receives the problems
      */
     public JsonFields(String source, String prefix, JsonNode object, Consumer<Problem> problems) {
         this.source = source;
@@ -52,28 +52,28 @@
     }
 
     /**
-     * Reads a text.
+     * Reads a string.
      *
      * @param name the field
-     * @param otherwise the value if the field is absent; {@code null} makes it required
-     * @return the value, or {@code otherwise} if there is a problem
+     * @param defaultValue the value if the field is absent; {@code null} makes it required
+     * @return the value, or {@code defaultValue} if there is a problem
      */
-    public String text(String name, String otherwise) {
-        return read(name, otherwise, "a text", node -> node.isTextual() ? node.textValue() : null);
+    public String text(String name, String defaultValue) {
+        return read(name, defaultValue, "a text", node -> node.isTextual() ? node.textValue() : null);
     }
 
     /**
-     * Reads a text and turns it into a value.
+     * Reads a string and converts it to a value.
      *
      * @param name the field
-     * @param otherwise the value if the field is absent; {@code null} makes it required
-     * @param allowed what is allowed, for problems
-     * @param parser turns the text into a value; throws {@link IllegalArgumentException} or {@link ApricotException}
+     * @param defaultValue the value if the field is absent; {@code null} makes it required
+     * @param allowed describes the allowed values in problems
+     * @param parser converts the string to a value; throws {@link IllegalArgumentException} or {@link ApricotException}
      * @param <T> the type of the value
-     * @return the value, or {@code otherwise} if there is a problem
+     * @return the value, or {@code defaultValue} if there is a problem
      */
-    public <T> T value(String name, T otherwise, String allowed, Function<String, T> parser) {
-        return read(name, otherwise, allowed, node -> {
+    public <T> T value(String name, T defaultValue, String allowed, Function<String, T> parser) {
+        return read(name, defaultValue, allowed, node -> {
             if (!node.isTextual()) {
                 return null;
             }
@@ -89,57 +89,58 @@
      * Reads a whole number.
      *
      * @param name the field
-     * @param otherwise the value if the field is absent; {@code null} makes it required
-     * @param least the least allowed value
-     * @param most the greatest allowed value
-     * @return the value, or {@code least} if there is a problem
+     * @param defaultValue the value if the field is absent; {@code null} makes it required
+     * @param min the smallest allowed value
+     * @param max the largest allowed value
+     * @return the value, or {@code min} if there is a problem
      */
-    public long number(String name, Long otherwise, long least, long most) {
-        Long value = read(name, otherwise, "a whole number from " + least + " to " + most, node -> {
+    public long number(String name, Long defaultValue, long min, long max) {
+        Long value = read(name, defaultValue, "a whole number from " + min + " to " + max, node -> {
             boolean fits = node.isIntegralNumber() && node.canConvertToLong();
-            return fits && node.longValue() >= least && node.longValue() <= most ? node.longValue() : null;
+            return fits && node.longValue() >= min && node.longValue() <= max ? node.longValue() : null;
         });
-        return value == null ? least : value;
+        return value == null ? min : value;
     }
 
     /**
-     * Reads a number that may have a fraction.
+     * Reads a number that need not be whole.
      *
      * @param name the field
-     * @param otherwise the value if the field is absent; {@code null} makes it required
-     * @param least the least allowed value
-     * @param most the greatest allowed value
-     * @return the value, or {@code least} if there is a problem
+     * @param defaultValue the value if the field is absent; {@code null} makes it required
+     * @param min the smallest allowed value
+     * @param max the largest allowed value
+     * @return the value, or {@code min} if there is a problem
      */
-    public double fraction(String name, Double otherwise, double least, double most) {
-        Double value = read(name, otherwise, "a number from " + least + " to " + most, node -> {
-            boolean fits = node.isNumber() && node.doubleValue() >= least && node.doubleValue() <= most;
+    public double fraction(String name, Double defaultValue, double min, double max) {
+        Double value = read(name, defaultValue, "a number from " + min + " to " + max, node -> {
+            boolean fits = node.isNumber() && node.doubleValue() >= min && node.doubleValue() <= max;
             return fits ? node.doubleValue() : null;
         });
-        return value == null ? least : value;
+        return value == null ? min : value;
     }
 
     /**
-     * Reads a truth value.
+     * Reads a boolean.
      *
      * @param name the field
-     * @param otherwise the value if the field is absent; {@code null} makes it required
+     * @param defaultValue the value if the field is absent; {@code null} makes it required
      * @return the value, or {@code false} if there is a problem
      */
-    public boolean flag(String name, Boolean otherwise) {
-        Boolean value = read(name, otherwise, "true or false", node -> node.isBoolean() ? node.booleanValue() : null);
+    public boolean flag(String name, Boolean defaultValue) {
+        Boolean value =
+                read(name, defaultValue, "true or false", node -> node.isBoolean() ? node.booleanValue() : null);
         return value != null && value;
     }
 
     /**
-     * Reads a list of texts and turns each into a value.
+     * Reads a list of strings and converts each to a value.
      *
      * @param name the field
-     * @param required whether the field must be there
-     * @param allowed what each element may be, for problems
-     * @param parser turns a text into a value; throws {@link IllegalArgumentException} or {@link ApricotException}
+     * @param required whether the field is required
+     * @param allowed describes the allowed elements in problems
+     * @param parser converts a string to a value; throws {@link IllegalArgumentException} or {@link ApricotException}
      * @param <T> the type of the values
-     * @return the values without those that have problems
+     * @return the valid values
      */
     public <T> List<T> list(String name, boolean required, String allowed, Function<String, T> parser) {
         known.add(name);
@@ -162,10 +163,10 @@
     }
 
     /**
-     * Reads a list of whole numbers that must be there.
+     * Reads a required list of whole numbers.
      *
      * @param name the field
-     * @return the numbers without those that have problems
+     * @return the valid numbers
      */
     public List<Long> numbers(String name) {
         known.add(name);
@@ -186,7 +187,7 @@
     }
 
     /**
-     * Reads an object within this one.
+     * Reads a nested object.
      *
      * @param name the field
      * @return a reader of its fields, or {@code null} if the field is absent
@@ -197,50 +198,50 @@
         return node == null || node.isNull() ? null : new JsonFields(source, path(name), node, problems);
     }
 
-    /** Reports the fields that nobody asked for. */
+    /** Reports all fields that were not read. */
     public void finish() {
         for (Iterator<String> names = object.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!known.contains(name)) {
-                problems.accept(new Problem(source, path(shown(name)), "an unknown field", nearest(name)));
+                problems.accept(new Problem(source, path(shown(name)), "an unknown field", suggestion(name)));
             }
         }
     }
 
     /** Reads one field. */
-    private <T> T read(String name, T otherwise, String allowed, Function<JsonNode, T> reader) {
+    private <T> T read(String name, T defaultValue, String allowed, Function<JsonNode, T> reader) {
         known.add(name);
         JsonNode node = object.get(name);
         if (node == null || node.isNull()) {
-            if (otherwise == null) {
+            if (defaultValue == null) {
                 problem(name, null, allowed);
             }
-            return otherwise;
+            return defaultValue;
         }
         T value = reader.apply(node);
         if (value == null) {
             problem(name, node, allowed);
-            return otherwise;
+            return defaultValue;
         }
         return value;
     }
 
-    /** Names the known field that an unknown one is probably meant to be. */
-    private String nearest(String name) {
-        LevenshteinDistance distance = new LevenshteinDistance(NEAR);
+    /** Suggests the known field that is most similar to an unknown one. */
+    private String suggestion(String name) {
+        LevenshteinDistance distance = new LevenshteinDistance(MAX_SUGGESTION_DISTANCE);
         String best = null;
-        int bestDistance = NEAR + 1;
+        int bestDistance = MAX_SUGGESTION_DISTANCE + 1;
         for (String candidate : known) {
-            int far = distance.apply(shown(name), candidate);
-            if (far >= 0 && far < bestDistance) {
+            int edits = distance.apply(shown(name), candidate);
+            if (edits >= 0 && edits < bestDistance) {
                 best = candidate;
-                bestDistance = far;
+                bestDistance = edits;
             }
         }
         return best == null ? "one of " + known : "\"" + best + "\", which is the nearest known name";
     }
 
-    /** Reports a problem of one field. */
+    /** Reports a problem with one field. */
     private void problem(String name, JsonNode node, String allowed) {
         String found = node == null ? "nothing" : node.isValueNode() ? shown(node.asText()) : kind(node);
         problems.accept(new Problem(source, path(name), found, allowed));
@@ -251,12 +252,12 @@
         return prefix.isEmpty() ? name : prefix + "." + name;
     }
 
-    /** Shortens a value for a problem. */
+    /** Truncates a value for a problem. */
     private static String shown(String value) {
-        return value.length() <= MOST_SHOWN ? value : value.substring(0, MOST_SHOWN) + "…";
+        return value.length() <= MAX_SHOWN_LENGTH ? value : value.substring(0, MAX_SHOWN_LENGTH) + "…";
     }
 
-    /** Names the kind of a node. */
+    /** Describes the type of a node. */
     private static String kind(JsonNode node) {
         return switch (node.getNodeType()) {
             case OBJECT -> "an object";
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/KeyDigests.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/KeyDigests.java
@@ -5,7 +5,7 @@
 
 import com.google.common.hash.Hashing;
 
-/** Digests of secret keys; keys themselves are neither published nor logged. */
+/** Digests of secret keys. The keys themselves are neither published nor logged. */
 public final class KeyDigests {
 
     private static final Pattern FORM = Pattern.compile("[0-9a-f]{64}");
@@ -23,15 +23,15 @@
     }
 
     /**
-     * Checks the form of a digest.
+     * Checks that a text has the form of a digest.
      *
      * @param text the text
      * @return the text
-     * @throws IllegalArgumentException if it is no digest
+     * @throws IllegalArgumentException if it is not a digest
      */
     public static String require(String text) {
         if (text == null || !FORM.matcher(text).matches()) {
-            throw new IllegalArgumentException("no digest");
+            throw new IllegalArgumentException("not a SHA-256 digest");
         }
         return text;
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/json/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading of JSON documents with all problems in one run.
+ * Reads JSON documents and reports all their problems at once.
  */
 package org.apricotstack.adapters.json;
