--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/metrics/RouterMetrics.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/metrics/RouterMetrics.java
@@ -24,8 +24,8 @@
 import org.apricotstack.core.stream.StreamVerdict;
 
 /**
- * The counters, gauges and histograms of one router. A counter for each reason exists from the start, so that a
- * reason that never occurred is seen as zero and not as absent.
+ * The counters, gauges and histograms of one router. The counters of all reasons are registered at creation, so that
+ * a reason that never occurred is reported as zero instead of being absent.
  */
 public final class RouterMetrics implements EntryMetrics, OwnerMetrics {
 
@@ -45,7 +45,7 @@
     private final Counter promptTokens = registry.counter("owner.prompt_tokens");
     private final Counter cachedTokens = registry.counter("owner.cached_tokens");
     private final Counter released = registry.counter("owner.memory_released");
-    private final Counter ordersTaken = registry.counter("owner.orders.taken");
+    private final Counter ordersAccepted = registry.counter("owner.orders.taken");
     private final Counter ordersRefused = registry.counter("owner.orders.refused");
 
     /** Creates the metrics. */
@@ -66,12 +66,12 @@
         }
         for (ReplicationTopic topic : ReplicationTopic.values()) {
             for (ApplyResult applied : ApplyResult.values()) {
-                registry.counter(appliedName(topic, applied));
+                registry.counter(applyResultName(topic, applied));
             }
         }
     }
 
-    /** Makes a counter for each constant. */
+    /** Creates a counter for each constant. */
     private <E extends Enum<E>> Map<E, Counter> counters(Class<E> type, Function<E, String> name) {
         Map<E, Counter> counters = new EnumMap<>(type);
         for (E constant : type.getEnumConstants()) {
@@ -85,8 +85,8 @@
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Names the counter of what became of a delta. */
-    private static String appliedName(ReplicationTopic topic, ApplyResult applied) {
+    /** Returns the name of the counter for a result of applying a delta. */
+    private static String applyResultName(ReplicationTopic topic, ApplyResult applied) {
         return "replication." + lower(topic) + "." + lower(applied);
     }
 
@@ -103,20 +103,20 @@
      * Registers a gauge.
      *
      * @param name its name
-     * @param gauge reads its value
+     * @param gauge returns its value
      */
     public void gauge(String name, Gauge<?> gauge) {
         registry.register(name, gauge);
     }
 
     /**
-     * Counts what became of a delta.
+     * Counts the result of applying a delta.
      *
      * @param topic the document set
-     * @param applied what became of it
+     * @param applied the result
      */
     public void deltaApplied(ReplicationTopic topic, ApplyResult applied) {
-        registry.counter(appliedName(topic, applied)).inc();
+        registry.counter(applyResultName(topic, applied)).inc();
     }
 
     @Override
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public void orderSent(boolean taken) {
-        (taken ? ordersTaken : ordersRefused).inc();
+    public void orderSent(boolean accepted) {
+        (accepted ? ordersAccepted : ordersRefused).inc();
     }
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/metrics/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Counters, gauges and histograms.
+ * Counters, gauges and histograms of a router.
  */
 package org.apricotstack.adapters.metrics;
