--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/platform/HttpPlatformDocuments.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/platform/HttpPlatformDocuments.java
@@ -18,15 +18,15 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-/** Reads and watches the platform's documents over HTTP. */
+/** Fetches and watches the platform's documents over HTTP. */
 public final class HttpPlatformDocuments implements PlatformDocuments, AutoCloseable {
 
-    /** Time that an answer may take beyond the wait that was asked for. */
-    private static final Duration EXTRA = Duration.ofSeconds(2);
+    /** Response timeout in addition to the requested duration of the long poll. */
+    private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(2);
 
-    private static final int MOST_CONNECTIONS = 4;
+    private static final int MAX_CONNECTIONS = 4;
 
-    private final ConnectionProvider connections = ConnectionProvider.create("platform", MOST_CONNECTIONS);
+    private final ConnectionProvider connections = ConnectionProvider.create("platform", MAX_CONNECTIONS);
     private final HttpClient client = HttpClient.create(connections);
     private final List<Address> addresses;
     private final AtomicInteger current = new AtomicInteger();
@@ -34,7 +34,7 @@
     /**
      * Creates a client.
      *
-     * @param addresses where the platform answers; after a failure the next is tried
+     * @param addresses addresses of the platform; after a failure the next one is used
      */
     public HttpPlatformDocuments(List<Address> addresses) {
         this.addresses = List.copyOf(addresses);
@@ -47,16 +47,16 @@
             Address address = addresses.get(Math.floorMod(index, addresses.size()));
             String uri = "http://" + address + "/v1/documents/" + topic.name().toLowerCase(Locale.ROOT) + "?since="
                     + since + "&beyond=" + beyond + "&waitMillis=" + wait.toMillis();
-            return client.responseTimeout(wait.plus(EXTRA))
+            return client.responseTimeout(wait.plus(TIMEOUT_MARGIN))
                     .get()
                     .uri(uri)
-                    .responseSingle(HttpPlatformDocuments::read)
+                    .responseSingle(HttpPlatformDocuments::decode)
                     .doOnError(error -> current.compareAndSet(index, index + 1));
         });
     }
 
-    /** Reads one answer. */
-    private static Mono<DocumentDelta> read(HttpClientResponse response, ByteBufMono body) {
+    /** Decodes one response. */
+    private static Mono<DocumentDelta> decode(HttpClientResponse response, ByteBufMono body) {
         int status = response.status().code();
         if (status == 204) {
             return Mono.empty();
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/platform/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's documents over HTTP.
+ * HTTP client for the platform's documents.
  */
 package org.apricotstack.adapters.platform;
