--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminEndpoint.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminEndpoint.java
@@ -3,30 +3,30 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import reactor.core.publisher.Mono;
 
-/** What a router does for operators. It cannot publish configuration: nothing can be written to the platform. */
+/** Handles the requests of operators. It cannot publish configuration, as routers never write to the platform. */
 public interface AdminEndpoint {
 
     /**
-     * Tells the state of this router.
+     * Returns the status of this router.
      *
      * @return JSON
      */
     JsonNode statusTree();
 
     /**
-     * Gathers the state of all routers on the roster.
+     * Collects the status of all routers on the roster.
      *
-     * @return JSON, with the routers that did not answer
+     * @return JSON, including the routers that did not answer
      */
     Mono<JsonNode> fleet();
 
-    /** Starts a graceful stop; calling it again changes nothing. */
+    /** Starts a graceful shutdown. Further calls have no effect. */
     void drain();
 
     /**
-     * Tells what would be decided for a request, without running it.
+     * Explains how a request would be routed, without running it.
      *
-     * @param question the request
+     * @param question the request to explain
      * @return JSON
      */
     JsonNode explain(Question question);
@@ -37,7 +37,7 @@
      * @param account the client account
      * @param service the service
      * @param promptTokens length of the prompt, in tokens
-     * @param outputTokens longest answer, in tokens
+     * @param outputTokens maximum length of the answer, in tokens
      */
     record Question(String account, String service, long promptTokens, long outputTokens) {}
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminServer.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminServer.java
@@ -25,7 +25,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Serves operators over HTTP, on a port and with a key of its own. */
+/** HTTP server for operators, with its own port and key. */
 public final class AdminServer implements AutoCloseable {
 
     private static final String BEARER = "Bearer ";
@@ -41,10 +41,10 @@
     /**
      * Starts a server.
      *
-     * @param listen the address; port 0 lets the machine choose
+     * @param listen the address; port 0 selects a free port
      * @param tls keys, or {@code null} for none
      * @param keyDigest SHA-256 of the operators' key, lower-case hexadecimal
-     * @param endpoint does the work
+     * @param endpoint handles the requests
      * @param registry the metrics to report
      */
     public AdminServer(
@@ -67,33 +67,33 @@
         }
     }
 
-    /** Lists the routes. */
+    /** Registers the routes. */
     private void routes(HttpServerRoutes routes) {
-        routes.get("/v1/status", guarded((request, response) -> json(response, endpoint.statusTree())))
-                .get("/v1/fleet", guarded((request, response) -> endpoint.fleet()
+        routes.get("/v1/status", authenticated((request, response) -> json(response, endpoint.statusTree())))
+                .get("/v1/fleet", authenticated((request, response) -> endpoint.fleet()
                         .flatMap(tree -> Mono.from(json(response, tree)))))
-                .get("/v1/metrics", guarded(this::metrics))
-                .get("/v1/explain", guarded(this::explain))
-                .post("/v1/drain", guarded((request, response) -> {
+                .get("/v1/metrics", authenticated(this::metrics))
+                .get("/v1/explain", authenticated(this::explain))
+                .post("/v1/drain", authenticated((request, response) -> {
                     endpoint.drain();
                     return response.status(202).send();
                 }));
     }
 
-    /** Lets only operators through. */
-    private Handler guarded(Handler handler) {
+    /** Rejects requests without the operators' key. */
+    private Handler authenticated(Handler handler) {
         return (request, response) -> {
             String header = request.requestHeaders().get(HttpHeaderNames.AUTHORIZATION, "");
             String key = header.startsWith(BEARER) ? header.substring(BEARER.length()) : "";
-            byte[] given = KeyDigests.of(key).getBytes(StandardCharsets.US_ASCII);
-            if (!MessageDigest.isEqual(given, keyDigest)) {
+            byte[] presented = KeyDigests.of(key).getBytes(StandardCharsets.US_ASCII);
+            if (!MessageDigest.isEqual(presented, keyDigest)) {
                 return response.status(UNAUTHORIZED).send();
             }
             return handler.apply(request, response);
         };
     }
 
-    /** Reports the metrics, as JSON if that is asked for and as text otherwise. */
+    /** Sends the metrics, as JSON if the request accepts it and as text otherwise. */
     private Publisher<Void> metrics(HttpServerRequest request, HttpServerResponse response) {
         boolean asJson =
                 request.requestHeaders().get(HttpHeaderNames.ACCEPT, "").contains(JSON_TYPE);
@@ -101,7 +101,7 @@
                 .sendString(Mono.just(asJson ? reports.json() : reports.text()));
     }
 
-    /** Explains what would be decided. */
+    /** Explains how a request would be routed. */
     private Publisher<Void> explain(HttpServerRequest request, HttpServerResponse response) {
         Map<String, List<String>> parameters = new QueryStringDecoder(request.uri()).parameters();
         try {
@@ -114,11 +114,11 @@
                             Long.parseLong(one(parameters, "outputTokens")))));
         } catch (IllegalArgumentException | ApricotException e) {
             return response.status(BAD_REQUEST)
-                    .sendString(Mono.just("Give account, service, promptTokens and outputTokens."));
+                    .sendString(Mono.just("State the parameters account, service, promptTokens and outputTokens."));
         }
     }
 
-    /** Returns the one value of a parameter. */
+    /** Returns the single value of a parameter. */
     private static String one(Map<String, List<String>> parameters, String name) {
         List<String> values = parameters.getOrDefault(name, List.of());
         if (values.size() != 1) {
@@ -146,6 +146,6 @@
         server.disposeNow();
     }
 
-    /** Answers one request. */
+    /** Handles one request. */
     private interface Handler extends BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> {}
 }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/MetricReports.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/MetricReports.java
@@ -14,10 +14,10 @@
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.failure.ErrorCode;
 
-/** Writes the metrics of a registry in the forms that monitoring systems read. */
+/** Formats the metrics of a registry for monitoring systems. */
 final class MetricReports {
 
-    /** The media type of the text form. */
+    /** The media type of the text format. */
     static final String TEXT_TYPE = TextFormat.CONTENT_TYPE_004;
 
     private final MetricRegistry registry;
@@ -25,13 +25,13 @@
             new ObjectMapper().registerModule(new MetricsModule(TimeUnit.SECONDS, TimeUnit.MILLISECONDS, false));
     private final CollectorRegistry collectors = new CollectorRegistry();
 
-    /** Creates the reports of a registry. */
+    /** Creates the formatter of a registry. */
     MetricReports(MetricRegistry registry) {
         this.registry = registry;
         collectors.register(new DropwizardExports(registry));
     }
 
-    /** Writes the text form of Prometheus. */
+    /** Formats the metrics in the Prometheus text format. */
     String text() {
         StringWriter writer = new StringWriter();
         try {
@@ -42,7 +42,7 @@
         return writer.toString();
     }
 
-    /** Writes JSON. */
+    /** Formats the metrics as JSON. */
     String json() {
         try {
             return json.writeValueAsString(registry);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Operators over HTTP.
+ * HTTP server for operators.
  */
 package org.apricotstack.adapters.admin;
