--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/tls/TlsContexts.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/tls/TlsContexts.java
@@ -12,13 +12,13 @@
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.failure.ErrorCode;
 
-/** Makes TLS contexts from files. */
+/** Creates TLS contexts from files. */
 public final class TlsContexts {
 
     private TlsContexts() {}
 
     /**
-     * Makes the context of the server for peers, which asks for a certificate that leads to the trusted ones.
+     * Creates the context of the server for peers, which requires a client certificate of a trusted authority.
      *
      * @param files keys and certificates, or {@code null} for no TLS
      * @return the context, or {@code null}
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Makes the context of the client for peers.
+     * Creates the context of the client for peers.
      *
      * @param files keys and certificates, or {@code null} for no TLS
      * @return the context, or {@code null}
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Makes the context of the servers for callers and operators.
+     * Creates the context of the servers for callers and operators.
      *
      * @param files keys and certificates, or {@code null} for no TLS
      * @return the context, or {@code null}
@@ -62,7 +62,7 @@
                         .build());
     }
 
-    /** Builds a context and names the remedy if a file cannot be used. */
+    /** Builds a context. The error for an unusable file states what to check. */
     private static SslContext build(TlsFiles files, ContextSource source) {
         try {
             return source.build();
@@ -70,7 +70,8 @@
             throw new ApricotException(
                     ErrorCode.INVALID_SETTINGS,
                     "Cannot use the TLS files " + files.certificateFile() + ", " + files.keyFile() + " and "
-                            + files.trustFile() + "; check that they are PEM files and belong together.",
+                            + files.trustFile()
+                            + "; check that they are PEM files and that key and certificate match.",
                     e);
         }
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/tls/package-info.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/tls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keys and certificates.
+ * TLS contexts from keys and certificates.
  */
 package org.apricotstack.adapters.tls;
