--- a/apricotstack-router/src/main/java/org/apricotstack/router/Explainer.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/Explainer.java
@@ -22,7 +22,7 @@
 import org.apricotstack.core.id.ServiceId;
 import org.apricotstack.core.time.Deadline;
 
-/** Tells operators what would be decided for a request, and why, without running it. */
+/** Explains to operators how a request would be routed, and why, without running it. */
 final class Explainer {
 
     private final RouterAssembly parts;
@@ -73,7 +73,7 @@
         return decide(answer, request);
     }
 
-    /** Lists the groups that were compared. */
+    /** Lists the candidate groups. */
     private void candidates(ObjectNode answer, AdmittedRequest request) {
         ArrayNode candidates = answer.putArray("candidates");
         for (Group group : request.configuration().groups(request.service())) {
@@ -88,19 +88,19 @@
         }
     }
 
-    /** Says which group would be chosen. */
+    /** Adds the group that would be chosen. */
     private ObjectNode decide(ObjectNode answer, AdmittedRequest request) {
-        GroupFinder.Target found = parts.finder.choose(request, Set.of(), Set.of());
-        if (found == null) {
+        GroupFinder.Target target = parts.finder.choose(request, Set.of(), Set.of());
+        if (target == null) {
             return refused(answer, RefusalReason.NO_GROUP);
         }
         return answer.put("decision", "dispatch")
-                .put("group", found.group().id().value())
-                .put("owner", found.owner().value())
-                .put("reason", found.reason().name());
+                .put("group", target.group().id().value())
+                .put("owner", target.owner().value())
+                .put("reason", target.reason().name());
     }
 
-    /** Says that the request would be refused. */
+    /** Adds the reason why the request would be refused. */
     private static ObjectNode refused(ObjectNode answer, RefusalReason reason) {
         return answer.put("decision", "refuse")
                 .put("code", reason.code())
--- a/apricotstack-router/src/main/java/org/apricotstack/router/LimitService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/LimitService.java
@@ -20,16 +20,19 @@
 import org.apricotstack.core.routing.Rendezvous;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Leases this router's shares of the limits of client accounts, and grants leases as the home of others. */
+/**
+ * Leases shares of client accounts' limits from their lease issuers, and issues leases for the accounts whose issuer
+ * is this router.
+ */
 final class LimitService {
 
-    /** Time between renewals. */
+    /** Renewal interval of leases. */
     static final Duration RENEWAL = Duration.ofMillis(500);
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final HostId self;
-    private final LimitLeaseIssuer home;
+    private final LimitLeaseIssuer issuer;
     private final LeasedLimitShares shares;
     private final AccountLimiter limiter;
     private final Supplier<MemberView> views;
@@ -41,10 +44,10 @@
      * Creates the service.
      *
      * @param self this router
-     * @param shares takes granted leases
-     * @param limiter tells the demand here
-     * @param views the picture of the routers
-     * @param peers calls the homes
+     * @param shares receives granted leases
+     * @param limiter provides the demand on this router
+     * @param views the current membership view
+     * @param peers calls the lease issuers
      * @param clock the local clock
      * @param configuration the configuration in force
      */
@@ -57,7 +60,7 @@
             MonotonicClock clock,
             Supplier<FleetConfiguration> configuration) {
         this.self = self;
-        this.home = new LimitLeaseIssuer(clock);
+        this.issuer = new LimitLeaseIssuer(clock);
         this.shares = shares;
         this.limiter = limiter;
         this.views = views;
@@ -65,9 +68,9 @@
         this.configuration = configuration;
     }
 
-    /** Asks the homes of client accounts with traffic for new leases, and forgets those without. */
+    /** Renews the leases of client accounts with traffic, and drops those of idle accounts. */
     void renew() {
-        home.removeIdle();
+        issuer.removeIdle();
         MemberView view = views.get();
         Map<ClientAccountId, Long> demand = limiter.drainDemand();
         Set<ClientAccountId> idle = new HashSet<>(shares.leasedAccounts());
@@ -78,22 +81,22 @@
         demand.forEach((account, tokens) -> renew(view, account, tokens));
     }
 
-    /** Asks one home. */
+    /** Renews the lease of one account. */
     private void renew(MemberView view, ClientAccountId account, long tokens) {
         List<HostId> hosts = view.usable().stream().map(RosterHost::id).toList();
-        HostId homeHost = Rendezvous.first("limit/" + account, hosts);
-        long askedAt = shares.leaseRequested(account);
-        if (homeHost == null || homeHost.equals(self)) {
-            shares.leaseGranted(account, lease(account, self, tokens), askedAt);
+        HostId issuerHost = Rendezvous.first("limit/" + account, hosts);
+        long requestedAt = shares.leaseRequested(account);
+        if (issuerHost == null || issuerHost.equals(self)) {
+            shares.leaseGranted(account, lease(account, self, tokens), requestedAt);
             return;
         }
-        RosterHost target = view.roster().routers().get(homeHost);
+        RosterHost target = view.roster().routers().get(issuerHost);
         peers.leaseLimit(target, account, tokens)
                 .timeout(RENEWAL)
-                .subscribe(share -> shares.leaseGranted(account, share, askedAt), error -> {});
+                .subscribe(share -> shares.leaseGranted(account, share, requestedAt), error -> {});
     }
 
-    /** Grants a lease as the home of an account; the demand is that of one time between renewals. */
+    /** Issues a lease. The demand is in tokens per renewal interval. */
     double lease(ClientAccountId id, HostId host, long tokens) {
         FleetConfiguration current = configuration.get();
         ClientAccount account = current == null ? null : current.account(id);
@@ -101,10 +104,10 @@
             return 0;
         }
         MemberView view = views.get();
-        int roster = Math.max(1, view.roster().routers().size());
-        int unseen = view.avoided().size() + view.suspects().size();
-        double visible = Math.max(0, (double) (roster - unseen) / roster);
+        int rosterSize = Math.max(1, view.roster().routers().size());
+        int unavailable = view.avoided().size() + view.suspects().size();
+        double availableShare = Math.max(0, (double) (rosterSize - unavailable) / rosterSize);
         double perSecond = (double) tokens * MILLIS_PER_SECOND / RENEWAL.toMillis();
-        return home.lease(id, host, perSecond / account.tokensPerSecond(), visible);
+        return issuer.lease(id, host, perSecond / account.tokensPerSecond(), availableShare);
     }
 }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/MembershipService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/MembershipService.java
@@ -20,33 +20,33 @@
 import org.apricotstack.core.replication.ReplicationTopic;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Keeps the picture of the routers, and makes and takes what probes carry. */
+/** Maintains the membership view, and creates and receives the payload of probes. */
 final class MembershipService implements ProbeExchange {
 
-    /** Statements that one message carries at most, so that its size does not grow with the fleet. */
-    private static final int STATEMENTS = 8;
+    /** Maximum number of membership records per message, so that its size does not grow with the fleet. */
+    private static final int MAX_RECORDS = 8;
 
     private final ProcessId self;
     private final MembershipTable table;
     private final Supplier<Roster> rosters;
     private final Supplier<Map<ReplicationTopic, Long>> versions;
-    private final BiConsumer<HostId, Map<ReplicationTopic, Long>> versionsHeard;
+    private final BiConsumer<HostId, Map<ReplicationTopic, Long>> onVersionsReported;
     private final MonotonicClock clock;
     private final ServingHosts serving = new ServingHosts();
     private MemberView view;
     private long viewOfTable = -1;
     private long viewOfRoster = -1;
     private long revision;
-    private long askingTurns;
+    private long unconfirmedRounds;
 
     /**
      * Creates the service.
      *
      * @param self this process
-     * @param table what is believed of the routers
+     * @param table the membership table
      * @param rosters the roster in force
-     * @param versions versions in force here, empty while this router does not serve
-     * @param versionsHeard takes the versions of a peer
+     * @param versions the versions in force on this router; empty while it does not serve
+     * @param onVersionsReported receives the versions of a peer
      * @param clock the local clock
      */
     MembershipService(
@@ -54,17 +54,17 @@
             MembershipTable table,
             Supplier<Roster> rosters,
             Supplier<Map<ReplicationTopic, Long>> versions,
-            BiConsumer<HostId, Map<ReplicationTopic, Long>> versionsHeard,
+            BiConsumer<HostId, Map<ReplicationTopic, Long>> onVersionsReported,
             MonotonicClock clock) {
         this.self = self;
         this.table = table;
         this.rosters = rosters;
         this.versions = versions;
-        this.versionsHeard = versionsHeard;
+        this.onVersionsReported = onVersionsReported;
         this.clock = clock;
     }
 
-    /** Returns the current picture; it is built again only when something has changed. */
+    /** Returns the current view, which is rebuilt only after a change. */
     synchronized MemberView view() {
         Roster roster = rosters.get();
         if (view == null || viewOfTable != table.revision() || viewOfRoster != roster.version()) {
@@ -79,7 +79,7 @@
         return view;
     }
 
-    /** Tells whether a router is known to serve: this one by itself, another one by its own word. */
+    /** Returns whether a router is known to serve. Other routers report it themselves. */
     boolean isKnownToServe(HostId host) {
         if (host.equals(self.host())) {
             return !versions.get().isEmpty();
@@ -87,16 +87,16 @@
         return serving.serves(host, table.incarnation(host));
     }
 
-    /** Picks routers that have not yet said that they serve. */
-    synchronized List<RosterHost> toAskWhetherTheyServe(int most) {
-        return serving.unconfirmed(view(), table, askingTurns++, most).stream()
+    /** Returns routers that have not yet reported that they serve, at most {@code max}. */
+    synchronized List<RosterHost> unconfirmedHosts(int max) {
+        return serving.unconfirmed(view(), table, unconfirmedRounds++, max).stream()
                 .filter(host -> !host.id().equals(self.host()))
                 .toList();
     }
 
     @Override
     public ProbePayload payload() {
-        return new ProbePayload(self, table.gossip(STATEMENTS), new EnumMap<>(versions.get()));
+        return new ProbePayload(self, table.gossip(MAX_RECORDS), new EnumMap<>(versions.get()));
     }
 
     @Override
@@ -105,13 +105,13 @@
     }
 
     @Override
-    public void receive(ProbePayload news) {
+    public void receive(ProbePayload payload) {
         long now = clock.millis();
-        table.recordAlive(news.sender(), now);
-        serving.recordStatus(news.sender(), !news.versions().isEmpty());
-        for (MemberRecord record : news.members()) {
+        table.recordAlive(payload.sender(), now);
+        serving.recordStatus(payload.sender(), !payload.versions().isEmpty());
+        for (MemberRecord record : payload.members()) {
             table.merge(record, now);
         }
-        versionsHeard.accept(news.sender().host(), news.versions());
+        onVersionsReported.accept(payload.sender().host(), payload.versions());
     }
 }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/NeighbourNews.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/NeighbourGossip.java
@@ -10,8 +10,8 @@
 import org.apricotstack.core.membership.RosterHost;
 import org.apricotstack.core.membership.WatchRings;
 
-/** Tells news to all neighbours at once, so that it does not wait for the next probe of each. */
-final class NeighbourNews {
+/** Sends state updates to all neighbours at once, instead of with the next probe of each. */
+final class NeighbourGossip {
 
     private final HostId self;
     private final Supplier<MemberView> views;
@@ -20,20 +20,20 @@
     private long neighboursOfRoster = -1;
 
     /**
-     * Creates the news of a router.
+     * Creates the gossip of a router.
      *
      * @param self this router
-     * @param views the picture of the routers
-     * @param detector sends the probes that carry news
+     * @param views the current membership view
+     * @param detector sends the probes that carry state updates
      */
-    NeighbourNews(HostId self, Supplier<MemberView> views, FailureDetector detector) {
+    NeighbourGossip(HostId self, Supplier<MemberView> views, FailureDetector detector) {
         this.self = self;
         this.views = views;
         this.detector = detector;
     }
 
-    /** Probes all neighbours; one that does not answer gets the news from others. */
-    void tell() {
+    /** Probes all neighbours. A neighbour that does not answer receives the updates from others. */
+    void broadcast() {
         MemberView view = views.get();
         for (HostId host : neighbours(view.roster())) {
             RosterHost neighbour = view.roster().routers().get(host);
--- a/apricotstack-router/src/main/java/org/apricotstack/router/PlatformWatcher.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/PlatformWatcher.java
@@ -22,35 +22,35 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * Watches one document set of the platform, while it is this router's turn.
+ * Watches one document set of the platform while this router is selected to do so.
  *
- * <p>The platform counts each call and takes about two thousand a second from all readers together. Two routers of
- * each data centre watch; the others get versions from peers. A fresh process that has heard of no serving peer
- * watches too, whoever's turn it is, after a random pause, so that a whole fleet that starts at once does not call
- * at once.
+ * <p>The platform limits the calls of all clients together to about two thousand per second. Two routers of each data
+ * centre watch; the others receive versions from peers. A new process that has not received anything from a serving
+ * peer also watches, selected or not, after a random delay, so that the routers of a fleet that starts all at once do
+ * not call at the same time.
  */
 final class PlatformWatcher implements AutoCloseable {
 
-    /** Routers of each data centre that watch. */
+    /** Number of routers in each data centre that watch. */
     private static final int WATCHERS = 2;
 
-    /** Shortest and longest pause after a failed call, in milliseconds. */
-    private static final long FIRST_PAUSE_MILLIS = 500;
+    /** Initial and maximum back-off after a failed call, in milliseconds. */
+    private static final long INITIAL_BACK_OFF_MILLIS = 500;
 
-    private static final long LONGEST_PAUSE_MILLIS = 10_000;
+    private static final long MAX_BACK_OFF_MILLIS = 10_000;
 
-    /** Pause before this router looks again whether it is its turn, in milliseconds. */
-    private static final long TURN_MILLIS = 1_000;
+    /** Interval at which this router checks whether it is selected to watch, in milliseconds. */
+    private static final long SELECTION_CHECK_MILLIS = 1_000;
 
     private final PlatformDocuments platform;
     private final ReplicationTopic topic;
     private final ReplicationService replication;
-    private final BooleanSupplier myTurn;
+    private final BooleanSupplier shouldWatch;
     private final Duration wait;
     private final Scheduler timer;
     private final DoubleSupplier random;
     private final AtomicLong calls = new AtomicLong();
-    private final AtomicLong failuresInRow = new AtomicLong();
+    private final AtomicLong consecutiveFailures = new AtomicLong();
     private Disposable loop;
 
     /**
@@ -58,109 +58,109 @@
      *
      * @param platform the platform
      * @param topic the document set
-     * @param replication takes what is read
-     * @param myTurn whether this router is to watch now
-     * @param wait longest wait of one call
-     * @param pauses timer and random source of the pauses
+     * @param replication receives the deltas
+     * @param shouldWatch whether this router currently has to watch
+     * @param wait maximum duration of a long poll
+     * @param delays timer and random source of the delays
      */
     PlatformWatcher(
             PlatformDocuments platform,
             ReplicationTopic topic,
             ReplicationService replication,
-            BooleanSupplier myTurn,
+            BooleanSupplier shouldWatch,
             Duration wait,
-            Pauses pauses) {
+            Delays delays) {
         this.platform = platform;
         this.topic = topic;
         this.replication = replication;
-        this.myTurn = myTurn;
+        this.shouldWatch = shouldWatch;
         this.wait = wait;
-        this.timer = pauses.timer();
-        this.random = pauses.random();
+        this.timer = delays.timer();
+        this.random = delays.random();
     }
 
     /**
-     * What pauses are made of.
+     * Timer and random source of delays.
      *
-     * @param timer runs them
-     * @param random spreads them, 0 to 1
+     * @param timer schedules the delays
+     * @param random returns jitter from 0 to 1
      */
-    record Pauses(Scheduler timer, DoubleSupplier random) {}
+    record Delays(Scheduler timer, DoubleSupplier random) {}
 
-    /** Tells whether a router is one of those that watch for its data centre. */
+    /** Returns whether a router is selected to watch for its data centre. */
     static boolean isWatcher(MemberView view, HostId self, DataCentreId dataCentre) {
         List<HostId> hosts =
                 view.usable(dataCentre).stream().map(RosterHost::id).toList();
         List<HostId> order = Rendezvous.order("watch/" + dataCentre, hosts);
-        int place = order.indexOf(self);
-        return place >= 0 && place < WATCHERS;
+        int rank = order.indexOf(self);
+        return rank >= 0 && rank < WATCHERS;
     }
 
-    /** Starts after a random part of a pause. */
-    void start(Duration longestPause) {
-        Duration pause = Duration.ofMillis(Math.round(longestPause.toMillis() * random.getAsDouble()));
-        loop = Mono.delay(pause, timer)
+    /** Starts after a random delay of at most the given length. */
+    void start(Duration maxDelay) {
+        Duration delay = Duration.ofMillis(Math.round(maxDelay.toMillis() * random.getAsDouble()));
+        loop = Mono.delay(delay, timer)
                 .thenMany(Mono.defer(this::round).repeat())
                 .subscribe(done -> {}, error -> {});
     }
 
-    /** Makes one call if it is this router's turn, and pauses after a failure. */
+    /** Makes one call if this router has to watch, and backs off after a failure. */
     private Mono<Void> round() {
-        if (!myTurn.getAsBoolean()) {
-            return Mono.delay(Duration.ofMillis(TURN_MILLIS), timer).then();
+        if (!shouldWatch.getAsBoolean()) {
+            return Mono.delay(Duration.ofMillis(SELECTION_CHECK_MILLIS), timer).then();
         }
         calls.incrementAndGet();
         DocumentReplica<?> replica = replication.replica(topic);
         long since = replica.version();
         long beyond = beyond(replica);
-        long asked = timer.now(TimeUnit.MILLISECONDS);
+        long startedMillis = timer.now(TimeUnit.MILLISECONDS);
         return platform.changes(topic, since, beyond, wait)
                 .map(delta -> isProgress(delta, since))
-                .switchIfEmpty(Mono.fromSupplier(() -> waitedFor(asked)))
-                .flatMap(sound -> {
-                    if (sound) {
-                        failuresInRow.set(0);
+                .switchIfEmpty(Mono.fromSupplier(() -> waited(startedMillis)))
+                .flatMap(succeeded -> {
+                    if (succeeded) {
+                        consecutiveFailures.set(0);
                         return Mono.<Void>empty();
                     }
-                    // A stale platform answers at once with what cannot be adopted; without a pause this would be a
-                    // storm of calls against its limit.
-                    return pause();
+                    // A stale platform responds immediately with a version that cannot be adopted. Without a back-off
+                    // the calls would use up the rate limit of the platform.
+                    return backOff();
                 })
-                .onErrorResume(error -> pause());
+                .onErrorResume(error -> backOff());
     }
 
     /**
-     * Offers a delta and tells whether the platform had something newer than it was asked for.
+     * Offers a delta and returns whether the platform had a version that is newer than the requested one.
      *
-     * <p>A version that a peer has told meanwhile is no sign of a stale platform. To pause for it made the watchers
-     * miss the next change: with eight watchers most hear of each change from a peer first, and paused up to ten
-     * seconds.
+     * <p>If the version is stale only because a peer delivered it in the meantime, the platform is not stale. Backing
+     * off in that case made the watchers miss the next change: with eight watchers, most of them receive each change
+     * from a peer first, and they backed off for up to ten seconds.
      */
     private boolean isProgress(DocumentDelta delta, long since) {
         ApplyResult applied = replication.offer(topic, delta);
         return applied == ApplyResult.ADOPTED || applied == ApplyResult.STALE && delta.to() > since;
     }
 
-    /** Returns the version after which the platform answers; a rejected version is not to be sent at once again. */
+    /** Returns the version that the platform must exceed to respond, so that a rejected version is not sent again. */
     private static long beyond(DocumentReplica<?> replica) {
         DocumentReplica.Rejection rejection = replica.rejection();
         return rejection == null ? replica.version() : Math.max(replica.version(), rejection.version());
     }
 
-    /** Tells whether the platform waited before it said that nothing is new; else it would be asked in a storm. */
-    private boolean waitedFor(long askedMillis) {
-        return timer.now(TimeUnit.MILLISECONDS) - askedMillis >= wait.toMillis() / 2;
+    /** Returns whether the platform held the long poll before it reported no change; if not, the watcher backs off. */
+    private boolean waited(long startedMillis) {
+        return timer.now(TimeUnit.MILLISECONDS) - startedMillis >= wait.toMillis() / 2;
     }
 
-    /** Pauses longer after each failure in a row, spread so that watchers do not call together. */
-    private Mono<Void> pause() {
-        long doublings = Math.min(failuresInRow.getAndIncrement(), 10);
-        long most = Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << doublings);
-        long pause = most / 2 + Math.round(random.getAsDouble() * most / 2);
-        return Mono.delay(Duration.ofMillis(pause), timer).then();
+    /** Waits for a back-off that doubles with each consecutive failure, with jitter to spread the calls of watchers. */
+    private Mono<Void> backOff() {
+        long doublings = Math.min(consecutiveFailures.getAndIncrement(), 10);
+        long max = Math.min(MAX_BACK_OFF_MILLIS, INITIAL_BACK_OFF_MILLIS << doublings);
+        long delayMillis = max / 2 + Math.round(random.getAsDouble() * max / 2);
+        return Mono.delay(Duration.ofMillis(delayMillis), timer).then();
     }
 
-    /** Returns how many calls were made. */
+    /** Returns the number of calls made. */
     long calls() {
         return calls.get();
     }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/ReplicationService.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/ReplicationService.java
@@ -19,7 +19,7 @@
 import org.tinylog.Logger;
 import reactor.core.publisher.Mono;
 
-/** Keeps the replicas of the document sets, fetches newer versions from peers, and tells when one was adopted. */
+/** Maintains the replicas of the document sets, fetches newer versions from peers, and notifies of adopted versions. */
 final class ReplicationService {
 
     private final DocumentReplica<FleetConfiguration> configuration;
@@ -35,9 +35,9 @@
     /**
      * Creates empty replicas.
      *
-     * @param configurations decides which configurations are valid
-     * @param rosters decides which rosters are valid
-     * @param metrics counters
+     * @param configurations validates configurations
+     * @param rosters validates rosters
+     * @param metrics the metrics
      * @param clock the local clock
      */
     ReplicationService(
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Sets how to fetch from a peer, and what to do after a version was adopted. */
+    /** Sets the function that fetches from a peer and the callback for adopted versions. */
     void connect(BiFunction<HostId, ReplicationTopic, Mono<DocumentDelta>> newFetcher, Runnable newOnAdopted) {
         fetcher = newFetcher;
         onAdopted = newOnAdopted;
@@ -76,22 +76,22 @@
         return current == null ? Roster.EMPTY : current;
     }
 
-    /** Returns the gate that holds back a process that starts. */
+    /** Returns the gate that keeps a new process from serving too early. */
     StartGate gate() {
         return gate;
     }
 
     /**
-     * Tells whether this router may serve: under the configuration that it has, and with a roster.
+     * Returns whether this router may serve: the gate is open for its configuration, and it has a roster.
      *
-     * <p>A router that served without a roster would be a neighbour of nobody and the turn to watch would never be
-     * its own: it would stay alone for good.
+     * <p>A router that served without a roster would be no router's neighbour and would never be selected to watch the
+     * platform. It would stay isolated permanently.
      */
     boolean isOpen() {
         return roster.version() > 0 && gate.isOpen(configuration.version());
     }
 
-    /** Returns the versions that peers are told: none while this router does not serve. */
+    /** Returns the versions that are sent to peers: none while this router does not serve. */
     Map<ReplicationTopic, Long> versions() {
         Map<ReplicationTopic, Long> versions = new EnumMap<>(ReplicationTopic.class);
         if (isOpen()) {
@@ -102,7 +102,7 @@
         return versions;
     }
 
-    /** Offers a delta and tells what became of it. */
+    /** Offers a delta and returns the result. */
     ApplyResult offer(ReplicationTopic topic, DocumentDelta delta) {
         ApplyResult applied = replica(topic).offer(delta);
         metrics.deltaApplied(topic, applied);
@@ -122,8 +122,8 @@
         return applied;
     }
 
-    /** Takes the versions of a serving peer, and fetches what is newer there. */
-    void heard(HostId peer, Map<ReplicationTopic, Long> versions) {
+    /** Receives the versions of a serving peer, and fetches those that are newer. */
+    void versionsReported(HostId peer, Map<ReplicationTopic, Long> versions) {
         Long configurationVersion = versions.get(ReplicationTopic.CONFIGURATION);
         if (configurationVersion != null) {
             gate.recordServingPeer(configurationVersion);
@@ -134,7 +134,7 @@
                         .versionReported(peer, version, replica(topic).version())));
     }
 
-    /** Fetches from a peer, if there is one to fetch from. */
+    /** Fetches a document set from a peer; does nothing if the peer is {@code null}. */
     private void fetch(ReplicationTopic topic, HostId peer) {
         if (peer == null) {
             return;
@@ -142,12 +142,12 @@
         fetcher.apply(peer, topic)
                 .subscribe(
                         delta -> offer(topic, delta),
-                        error -> fetched(topic, peer, false),
-                        () -> fetched(topic, peer, true));
+                        error -> fetchEnded(topic, peer, false),
+                        () -> fetchEnded(topic, peer, true));
     }
 
-    /** Ends a fetch and starts the next if one is due. */
-    private void fetched(ReplicationTopic topic, HostId peer, boolean succeeded) {
+    /** Records the end of a fetch and starts the next one if needed. */
+    private void fetchEnded(ReplicationTopic topic, HostId peer, boolean succeeded) {
         long version = replica(topic).version();
         fetch(topic, planners.get(topic).fetchEnded(peer, succeeded, version));
     }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
@@ -27,7 +27,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One router: all of the system that runs on one host.
+ * A router process: everything of the system that runs on one host.
  *
  * <p>Example:
  *
@@ -40,22 +40,22 @@
  */
 public final class Router implements AutoCloseable {
 
-    /** Time between looks at time limits and silent streams. */
+    /** Interval of the checks for expired time limits and silent streams. */
     private static final Duration TICK = Duration.ofMillis(25);
 
-    /** Time between rounds in which what is old is forgotten. */
-    private static final Duration FORGET = Duration.ofSeconds(5);
+    /** Interval at which expired entries are evicted. */
+    private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(5);
 
-    /** Time in which reasons to look after engines at once are gathered. */
-    private static final Duration CARE_GATHER = Duration.ofMillis(200);
+    /** Time during which changes are collected before the engines are reconciled. */
+    private static final Duration RECONCILE_DEBOUNCE = Duration.ofMillis(200);
 
     /**
-     * Routers asked in one round whether they serve. 480 replacements a day cost each router as many questions, so four
-     * a round are needed only after a start of the whole fleet.
+     * Maximum number of routers per round that are probed for whether they serve. 480 replacements a day cost each
+     * router as many probes, so four per round are needed only after a start of the whole fleet.
      */
-    private static final int SERVING_QUESTIONS = 4;
+    private static final int MAX_SERVING_PROBES = 4;
 
-    /** Heartbeats are sent this often while no configuration is in force, in milliseconds. */
+    /** Heartbeat interval while no configuration is in force, in milliseconds. */
     private static final long IDLE_HEARTBEAT_MILLIS = 500;
 
     private final RouterAssembly parts;
@@ -69,9 +69,9 @@
     private AdminServer adminServer;
 
     /**
-     * Builds a router; it listens and works only after {@link #start()}.
+     * Creates a router, which is inactive until {@link #start()}.
      *
-     * @param settings its settings
+     * @param settings the settings of the router
      * @param runtime clock and timer
      */
     public Router(RouterSettings settings, RouterRuntime runtime) {
@@ -81,7 +81,7 @@
         this.platform = new HttpPlatformDocuments(settings.platformAddresses());
     }
 
-    /** Listens on its addresses and starts its periodic work. */
+    /** Opens the listening sockets and starts the periodic tasks. */
     public void start() {
         RouterSettings settings = parts.settings;
         peerServer = new GrpcPeerServer(
@@ -101,13 +101,13 @@
         registerGauges();
         startWatchers();
         startSeeding();
-        every(TICK, parts.owners::tick);
-        every(LimitService.RENEWAL, parts.limits::renew);
-        every(FORGET, parts.owners::evictExpired);
+        schedulePeriodically(TICK, parts.owners::tick);
+        schedulePeriodically(LimitService.RENEWAL, parts.limits::renew);
+        schedulePeriodically(EVICTION_INTERVAL, parts.owners::evictExpired);
         startHeartbeats();
         startProbes();
-        startServingQuestions();
-        startCare();
+        startServingProbes();
+        startReconciliation();
         Logger.info(
                 "event=started process={} caller_port={} peer_port={} admin_port={}",
                 parts.self,
@@ -116,7 +116,7 @@
                 adminPort());
     }
 
-    /** Registers what is read when metrics are reported. */
+    /** Registers the gauges. */
     private void registerGauges() {
         RouterMetrics metrics = parts.metrics;
         metrics.gauge(
@@ -137,45 +137,45 @@
                 () -> watchers.stream().mapToLong(PlatformWatcher::calls).sum());
     }
 
-    /** Starts watching the platform, one watcher a document set. */
+    /** Starts one platform watcher for each document set. */
     private void startWatchers() {
         Duration wait = Duration.ofMillis(parts.settings.timings().watchMillis());
-        Duration pause = Duration.ofMillis(parts.settings.timings().startWaitMillis());
+        Duration maxDelay = Duration.ofMillis(parts.settings.timings().startWaitMillis());
         for (ReplicationTopic topic : ReplicationTopic.values()) {
             PlatformWatcher watcher = new PlatformWatcher(
                     platform,
                     topic,
                     parts.replication,
-                    this::isToWatch,
+                    this::shouldWatchPlatform,
                     wait,
-                    new PlatformWatcher.Pauses(parts.runtime.timer(), ThreadLocalRandom.current()::nextDouble));
+                    new PlatformWatcher.Delays(parts.runtime.timer(), ThreadLocalRandom.current()::nextDouble));
             watchers.add(watcher);
-            watcher.start(pause);
+            watcher.start(maxDelay);
         }
     }
 
-    /** Tells whether this router is to watch the platform now. */
-    private boolean isToWatch() {
+    /** Returns whether this router currently has to watch the platform. */
+    private boolean shouldWatchPlatform() {
         return !parts.replication.isOpen()
                 || PlatformWatcher.isWatcher(
                         parts.membership.view(), parts.settings.host(), parts.settings.dataCentre());
     }
 
-    /** Asks the seed peers for what they have, and ends the wait for peers after its time. */
+    /** Fetches the document sets from the seed peers, and ends the wait for peers when its time has passed. */
     private void startSeeding() {
         Duration wait = Duration.ofMillis(parts.settings.timings().startWaitMillis());
         work.add(Mono.delay(wait, parts.runtime.timer())
                 .subscribe(over -> parts.replication.gate().endWait()));
-        Duration pause = Duration.ofMillis(parts.settings.timings().probeMillis());
-        work.add(Flux.interval(Duration.ZERO, pause, parts.runtime.timer())
+        Duration interval = Duration.ofMillis(parts.settings.timings().probeMillis());
+        work.add(Flux.interval(Duration.ZERO, interval, parts.runtime.timer())
                 .onBackpressureDrop()
                 .takeWhile(tick -> !parts.replication.isOpen())
-                .concatMap(tick -> Flux.fromIterable(parts.settings.seedPeers()).flatMap(this::askSeed))
+                .concatMap(tick -> Flux.fromIterable(parts.settings.seedPeers()).flatMap(this::fetchFromSeed))
                 .subscribe(done -> {}, error -> {}));
     }
 
-    /** Asks one seed peer for both document sets; only a peer that serves counts. */
-    private Mono<Void> askSeed(Address seed) {
+    /** Fetches both document sets from a seed peer. A peer that does not serve is ignored. */
+    private Mono<Void> fetchFromSeed(Address seed) {
         Duration wait = Duration.ofMillis(parts.settings.timings().probeTimeoutMillis() * 2);
         return parts.peers
                 .probeAddress(seed, parts.membership.payload())
@@ -190,7 +190,7 @@
                 .onErrorResume(error -> Mono.empty());
     }
 
-    /** Sends heartbeats as often as the configuration says. */
+    /** Sends heartbeats at the interval that the configuration states. */
     private void startHeartbeats() {
         work.add(Mono.defer(() -> Mono.delay(Duration.ofMillis(heartbeatMillis()), parts.runtime.timer()))
                 .doOnNext(tick -> parts.owners.heartbeat())
@@ -198,51 +198,51 @@
                 .subscribe());
     }
 
-    /** Returns the time between heartbeats. */
+    /** Returns the heartbeat interval. */
     private long heartbeatMillis() {
         FleetConfiguration current = parts.replication.configuration();
         return current == null ? IDLE_HEARTBEAT_MILLIS : current.limits().heartbeatMillis();
     }
 
-    /** Probes one neighbour a round. */
+    /** Probes one neighbour per round. */
     private void startProbes() {
-        Duration pause = Duration.ofMillis(parts.settings.timings().probeMillis());
-        work.add(Flux.interval(pause, parts.runtime.timer())
+        Duration interval = Duration.ofMillis(parts.settings.timings().probeMillis());
+        work.add(Flux.interval(interval, parts.runtime.timer())
                 .onBackpressureDrop()
                 .concatMap(tick -> parts.detector.runRound().onErrorResume(error -> Mono.empty()))
                 .subscribe());
     }
 
-    /** Asks routers that have not yet said so whether they serve; only those that do are named to callers. */
-    private void startServingQuestions() {
-        Duration pause = Duration.ofMillis(parts.settings.timings().probeMillis());
-        work.add(Flux.interval(pause, parts.runtime.timer())
+    /** Probes routers that are not yet known to serve. Only routers that serve are returned to callers. */
+    private void startServingProbes() {
+        Duration interval = Duration.ofMillis(parts.settings.timings().probeMillis());
+        work.add(Flux.interval(interval, parts.runtime.timer())
                 .onBackpressureDrop()
-                .concatMap(tick -> Flux.fromIterable(parts.membership.toAskWhetherTheyServe(SERVING_QUESTIONS))
+                .concatMap(tick -> Flux.fromIterable(parts.membership.unconfirmedHosts(MAX_SERVING_PROBES))
                         .flatMap(host -> parts.detector.probe(host).onErrorResume(error -> Mono.empty())))
                 .subscribe());
     }
 
     /**
-     * Looks after the engines of the groups that this router owns by its own picture: at once when a configuration
-     * was adopted or a router has died or started again, and else seldom, as each look costs bytes of the budget
-     * for control.
+     * Reconciles the engines of the groups that this router owns according to its own view: soon after a configuration
+     * was adopted or a router died or restarted, and otherwise rarely, as each reconciliation uses some of the network
+     * budget for control traffic.
      */
-    private void startCare() {
-        Duration pause = Duration.ofMillis(parts.settings.timings().careMillis());
-        Flux<Long> seldom = Flux.interval(pause, parts.runtime.timer());
-        Flux<Long> changes = Flux.interval(CARE_GATHER, parts.runtime.timer())
+    private void startReconciliation() {
+        Duration interval = Duration.ofMillis(parts.settings.timings().careMillis());
+        Flux<Long> periodic = Flux.interval(interval, parts.runtime.timer());
+        Flux<Long> changes = Flux.interval(RECONCILE_DEBOUNCE, parts.runtime.timer())
                 .onBackpressureDrop()
                 .map(tick -> parts.membership.view().revision() + configurationVersion())
                 .distinctUntilChanged();
-        work.add(Flux.merge(seldom, changes)
+        work.add(Flux.merge(periodic, changes)
                 .onBackpressureLatest()
-                .concatMap(tick -> careOnce(), 1)
+                .concatMap(tick -> reconcileOnce(), 1)
                 .subscribe());
     }
 
-    /** Looks once after the engines of owned groups. */
-    private Mono<Void> careOnce() {
+    /** Reconciles the engines of owned groups once. */
+    private Mono<Void> reconcileOnce() {
         FleetConfiguration current = parts.replication.configuration();
         if (current == null || !parts.replication.isOpen()) {
             return Mono.empty();
@@ -254,34 +254,35 @@
                 .onErrorResume(error -> Mono.empty());
     }
 
-    /** Tells whether this router owns a group by its own picture. */
+    /** Returns whether this router owns a group according to its own view. */
     private boolean isOwned(Group group) {
         return parts.settings.host().equals(parts.ownership.owner(group, parts.membership.view(), Set.of()));
     }
 
-    /** Runs work periodically. */
-    private void every(Duration pause, Runnable task) {
-        work.add(
-                Flux.interval(pause, parts.runtime.timer()).onBackpressureDrop().subscribe(tick -> {
+    /** Runs a task periodically. */
+    private void schedulePeriodically(Duration interval, Runnable task) {
+        work.add(Flux.interval(interval, parts.runtime.timer())
+                .onBackpressureDrop()
+                .subscribe(tick -> {
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        // Without this, one failed round would end the periodic work for good, and requests would
-                        // hang past their time limits with nothing in sight but a silent log.
+                        // An exception would cancel the periodic task permanently. Requests would then exceed their
+                        // time limits without any log entry.
                         Logger.error(e, "event=periodic_work_failed");
                     }
                 }));
     }
 
-    /** Starts a graceful stop. */
+    /** Starts a graceful shutdown. */
     public void drain() {
         parts.stop.drain();
     }
 
     /**
-     * Tells when a graceful stop has ended.
+     * Returns the completion of a graceful shutdown.
      *
-     * @return ends when nothing is in progress any more
+     * @return completes when no requests or attempts are in progress
      */
     public Mono<Void> ended() {
         return parts.stop.ended();
@@ -299,7 +300,7 @@
     /**
      * Returns the version of the configuration in force.
      *
-     * @return the version, 0 before the first
+     * @return the version; 0 if there is none yet
      */
     public long configurationVersion() {
         return parts.replication.replica(ReplicationTopic.CONFIGURATION).version();
@@ -308,14 +309,14 @@
     /**
      * Returns the version of the roster in force.
      *
-     * @return the version, 0 before the first
+     * @return the version; 0 if there is none yet
      */
     public long rosterVersion() {
         return parts.replication.replica(ReplicationTopic.ROSTER).version();
     }
 
     /**
-     * Tells whether this router takes requests under its configuration.
+     * Returns whether this router accepts requests.
      *
      * @return whether it serves
      */
@@ -324,7 +325,7 @@
     }
 
     /**
-     * Returns how many routers the roster in force lists.
+     * Returns the number of routers on the roster in force.
      *
      * @return the number
      */
@@ -333,7 +334,7 @@
     }
 
     /**
-     * Returns the counters.
+     * Returns the metrics.
      *
      * @return the metrics
      */
@@ -368,15 +369,18 @@
         return adminServer.port();
     }
 
-    /** Says farewell to the neighbours and stops at once; for a graceful stop, {@link #drain()} first. */
+    /**
+     * Announces to the neighbours that this router is dead, and stops at once. Call {@link #drain()} first for a
+     * graceful shutdown.
+     */
     @Override
     public void close() {
         parts.table.announce(MemberState.DEAD, parts.runtime.clock().millis());
-        parts.news.tell();
+        parts.gossip.broadcast();
         kill();
     }
 
-    /** Stops at once and without a word, as a process does that is killed. */
+    /** Stops at once without notifying the neighbours, like a killed process. */
     public void kill() {
         work.dispose();
         watchers.forEach(PlatformWatcher::close);
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterAssembly.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterAssembly.java
@@ -41,12 +41,12 @@
 import org.apricotstack.core.ticket.TicketLedger;
 import reactor.core.publisher.Mono;
 
-/** Builds the parts of a router and connects them; it starts nothing. */
+/** Creates and connects the components of a router without starting them. */
 final class RouterAssembly {
 
     private static final int TICKET_KEY_BYTES = 32;
 
-    /** The settings. */
+    /** The settings of the router. */
     final RouterSettings settings;
 
     /** Clock and timer. */
@@ -55,58 +55,58 @@
     /** This process. */
     final ProcessId self;
 
-    /** Counters. */
+    /** Counters, gauges and histograms. */
     final RouterMetrics metrics = new RouterMetrics();
 
-    /** Document sets. */
+    /** Replicas of the document sets. */
     final ReplicationService replication;
 
-    /** What is believed of the routers. */
+    /** The state of each router as known here. */
     final MembershipTable table;
 
-    /** The picture of the routers. */
+    /** The membership view and the payload of probes. */
     final MembershipService membership;
 
-    /** Calls to peers. */
+    /** Client for peers. */
     final GrpcPeerClient peers;
 
-    /** Watch over peers. */
+    /** Probes peers. */
     final FailureDetector detector;
 
-    /** News to neighbours. */
-    final NeighbourNews news;
+    /** Sends state updates to neighbours. */
+    final NeighbourGossip gossip;
 
-    /** Calls to upstreams. */
+    /** Client for upstreams. */
     final HttpUpstreamGateway gateway;
 
-    /** Groups owned here. */
+    /** The groups that this router owns. */
     final OwnerService owners;
 
-    /** Care for engines. */
+    /** Brings engines to their desired state. */
     final UpstreamReconciler reconciler;
 
-    /** Tells owners of groups. */
+    /** Determines the owners of groups. */
     final GroupOwnership ownership = new GroupOwnership();
 
-    /** Finds groups for requests. */
+    /** Chooses groups for requests. */
     final GroupFinder finder;
 
-    /** Loads of groups. */
+    /** The load of each group. */
     final GroupLoadTable loads;
 
-    /** Requests of callers. */
+    /** Handles requests of callers. */
     final EntryService entry;
 
-    /** Limits of client accounts. */
+    /** Leases of client accounts' limits. */
     final LimitService limits;
 
-    /** The graceful stop. */
+    /** Controls the graceful shutdown. */
     final StopController stop;
 
-    /** The report for operators. */
+    /** Creates the status for operators. */
     final StatusReport status;
 
-    /** Builds all parts. */
+    /** Creates all components. */
     RouterAssembly(RouterSettings settings, RouterRuntime runtime) {
         this.settings = settings;
         this.runtime = runtime;
@@ -115,7 +115,12 @@
                 new JsonConfigurationValidator(), new JsonRosterValidator(), metrics, runtime.clock());
         table = new MembershipTable(self, settings.timings().suspicionMillis());
         membership = new MembershipService(
-                self, table, replication::roster, replication::versions, replication::heard, runtime.clock());
+                self,
+                table,
+                replication::roster,
+                replication::versions,
+                replication::versionsReported,
+                runtime.clock());
         peers = new GrpcPeerClient(
                 self, TlsContexts.peerClient(settings.peerTls()), runtime.clock(), membership::payload);
         detector = new FailureDetector(
@@ -126,7 +131,7 @@
                 table,
                 new FailureDetector.DetectorTime(runtime.clock(), runtime.timer()),
                 Duration.ofMillis(settings.timings().probeTimeoutMillis()));
-        news = new NeighbourNews(settings.host(), membership::view, detector);
+        gossip = new NeighbourGossip(settings.host(), membership::view, detector);
         gateway = new HttpUpstreamGateway(self);
         owners = new OwnerService(
                 replication::configuration, this::leavingUpstreams, gateway, metrics, runtime.clock(), runtime.timer());
@@ -152,7 +157,7 @@
         replication.connect(this::fetch, this::adopted);
     }
 
-    /** Builds the service for callers. */
+    /** Creates the service that handles requests of callers. */
     private EntryService entryService(RoutingDispatcher dispatcher, AccountLimiter limiter) {
         RequestCoordinator coordinator = new RequestCoordinator(
                 finder, dispatcher, loads, new RetryBudget(), metrics, runtime.clock(), runtime.timer());
@@ -167,7 +172,7 @@
         return new EntryService(new Gate(), limiter, coordinator, ledger, dispatcher, metrics, identity);
     }
 
-    /** Decides whether new requests are taken. */
+    /** Decides whether new requests are accepted. */
     private final class Gate implements EntryGate {
 
         @Override
@@ -187,12 +192,12 @@
         }
     }
 
-    /** Returns the upstreams that the platform lists as leaving. */
+    /** Returns the upstreams that are leaving according to the roster. */
     private Set<UpstreamId> leavingUpstreams() {
         return replication.roster().leavingUpstreams();
     }
 
-    /** Returns how long callers keep an entry answer. */
+    /** Returns how long callers may cache the addresses of routers, in milliseconds. */
     long entryKeepMillis() {
         FleetConfiguration current = replication.configuration();
         return current == null ? 0 : current.limits().entryKeepMillis();
@@ -212,15 +217,15 @@
                         runtime.timer());
     }
 
-    /** Takes an adopted version into the groups, and tells the neighbours at once. */
+    /** Applies an adopted version to the owned groups, and notifies the neighbours at once. */
     private void adopted() {
         owners.refresh();
-        news.tell();
+        gossip.broadcast();
     }
 
     /** Announces that this router is leaving. */
     private void announceLeaving() {
         table.announce(MemberState.LEAVING, runtime.clock().millis());
-        news.tell();
+        gossip.broadcast();
     }
 }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterEndpoints.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterEndpoints.java
@@ -36,30 +36,30 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** What a router does for callers, peers and operators, on top of its parts. */
+/** Handles the calls of callers, peers and operators. */
 final class RouterEndpoints implements CallerEndpoint, PeerEndpoint, AdminEndpoint {
 
-    /** Hosts that one entry answer names. */
-    private static final int MOST_ENTRIES = 8;
+    /** Maximum number of routers that are returned to a caller. */
+    private static final int MAX_ENTRIES = 8;
 
-    private static final Duration FLEET_WAIT = Duration.ofSeconds(1);
+    private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(1);
 
     private final RouterAssembly parts;
     private final Explainer explainer;
-    private final EntryRouterSelector naming;
+    private final EntryRouterSelector selector;
 
     /** Creates the endpoints. */
     RouterEndpoints(RouterAssembly parts) {
         this.parts = parts;
         this.explainer = new Explainer(parts);
-        this.naming =
-                new EntryRouterSelector(parts.settings.dataCentre(), parts.membership::isKnownToServe, MOST_ENTRIES);
+        this.selector =
+                new EntryRouterSelector(parts.settings.dataCentre(), parts.membership::isKnownToServe, MAX_ENTRIES);
     }
 
     @Override
     public EntryAnswer entries(String callerIp) {
         MemberView view = parts.membership.view();
-        List<Address> addresses = naming.select(view, callerIp).stream()
+        List<Address> addresses = selector.select(view, callerIp).stream()
                 .map(host -> view.roster().routers().get(host).callerAddress())
                 .toList();
         return new EntryAnswer(addresses, parts.entryKeepMillis());
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public ProbeAnswer probe(ProbePayload news) {
-        parts.membership.receive(news);
+    public ProbeAnswer probe(ProbePayload payload) {
+        parts.membership.receive(payload);
         return new ProbeAnswer(parts.membership.payload(), parts.runtime.clock().nanos());
     }
 
@@ -144,26 +144,26 @@
         return Flux.fromIterable(view.roster().routers().values())
                 .flatMap(this::statusOf)
                 .collectList()
-                .map(found -> {
+                .map(statuses -> {
                     ObjectNode fleet = Json.STRICT.createObjectNode();
                     ArrayNode hosts = fleet.putArray("hosts");
-                    found.forEach(hosts::add);
+                    statuses.forEach(hosts::add);
                     return fleet;
                 });
     }
 
-    /** Reads the state of one router; a router that does not answer is named as such. */
+    /** Reads the status of one router. A router that does not answer is marked as such. */
     private Mono<JsonNode> statusOf(RosterHost host) {
         if (host.id().equals(parts.settings.host())) {
             return Mono.just(statusTree());
         }
-        ObjectNode silent =
+        ObjectNode noAnswer =
                 Json.STRICT.createObjectNode().put("host", host.id().value()).put("notHeardFrom", true);
         return parts.peers
                 .status(host)
-                .timeout(FLEET_WAIT, parts.runtime.timer())
+                .timeout(STATUS_TIMEOUT, parts.runtime.timer())
                 .flatMap(bytes -> Mono.fromCallable(() -> Json.STRICT.readTree(bytes)))
-                .onErrorReturn(silent);
+                .onErrorReturn(noAnswer);
     }
 
     @Override
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterRuntime.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterRuntime.java
@@ -5,16 +5,16 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * What a router takes from the machine.
+ * The clocks and the timer that a router uses.
  *
  * @param clock the local monotonic clock
- * @param timer runs periodic work and time limits
- * @param startMillis wall-clock time of the start in milliseconds, which makes the incarnation
+ * @param timer runs periodic tasks and timeouts
+ * @param startMillis wall-clock time of the start in milliseconds, used as the incarnation of the process
  */
 public record RouterRuntime(MonotonicClock clock, Scheduler timer, long startMillis) {
 
     /**
-     * Takes the machine's own clock and the shared timer.
+     * Returns the runtime that uses the system clocks and the shared scheduler.
      *
      * @return the runtime of a process
      */
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RoutingDispatcher.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RoutingDispatcher.java
@@ -20,7 +20,10 @@
 import org.apricotstack.core.time.Deadline;
 import reactor.core.publisher.Flux;
 
-/** Gives attempts to owners and requests to the issuers of their tickets: in this process, or over the network. */
+/**
+ * Dispatches attempts to the owners of groups, in this process or over the network, and forwards requests with tickets
+ * to the issuers of the tickets.
+ */
 final class RoutingDispatcher implements AttemptDispatcher, TicketForwarder {
 
     private final HostId self;
@@ -32,9 +35,9 @@
      * Creates a dispatcher.
      *
      * @param self this router
-     * @param owners the groups owned here
+     * @param owners the groups that this router owns
      * @param peers calls other routers
-     * @param views the picture of the routers
+     * @param views the current membership view
      */
     RoutingDispatcher(HostId self, OwnerService owners, GrpcPeerClient peers, Supplier<MemberView> views) {
         this.self = self;
--- a/apricotstack-router/src/main/java/org/apricotstack/router/StatusReport.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/StatusReport.java
@@ -14,7 +14,7 @@
 import org.apricotstack.core.replication.DocumentReplica;
 import org.apricotstack.core.replication.ReplicationTopic;
 
-/** Writes the state of a router for operators. */
+/** Creates the status document of a router for operators. */
 final class StatusReport {
 
     private final ProcessId self;
@@ -24,7 +24,7 @@
     private final MembershipTable table;
     private final OwnerService owners;
 
-    /** Creates a report over the live parts of a router. */
+    /** Creates a report that reads the given components. */
     StatusReport(
             ProcessId self,
             DataCentreId dataCentre,
@@ -40,7 +40,7 @@
         this.owners = owners;
     }
 
-    /** Writes the state. */
+    /** Returns the current status. */
     ObjectNode write(String stage, long activeRequests) {
         ObjectNode status = Json.STRICT
                 .createObjectNode()
@@ -56,7 +56,7 @@
         return status;
     }
 
-    /** Writes which configuration is in force. */
+    /** Returns the configuration in force, and the rejected one if there is any. */
     private ObjectNode configuration() {
         FleetConfiguration current = replication.configuration();
         ObjectNode node = Json.STRICT.createObjectNode();
@@ -74,7 +74,7 @@
         return node;
     }
 
-    /** Writes what is believed of the routers. */
+    /** Returns the state of each router as known here. */
     private ArrayNode members() {
         ArrayNode members = Json.STRICT.createArrayNode();
         MemberView view = membership.view();
@@ -88,7 +88,7 @@
         return members;
     }
 
-    /** Writes queues and upstreams of the groups that have work here. */
+    /** Returns the queues and upstreams of the groups that have work here. */
     private ArrayNode groups() {
         ArrayNode groups = Json.STRICT.createArrayNode();
         owners.owners().forEach((id, owner) -> {
--- a/apricotstack-router/src/main/java/org/apricotstack/router/StopController.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/StopController.java
@@ -12,27 +12,27 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * Stops a router without cutting a request.
+ * Shuts down a router without aborting requests.
  *
- * <p>Callers keep an entry answer for a while and connect to a host that they were told of before it began to stop.
- * The router therefore goes on taking requests for that long after it has ceased to be named, and only then
- * refuses; it ends after its last request and the last attempt that it runs as an owner.
+ * <p>Callers cache the addresses of routers and may connect to one that has since begun to shut down. The router
+ * therefore keeps accepting requests until the cached addresses have expired, and only then refuses new ones. It ends
+ * after its last request and the last attempt that it runs as an owner.
  */
 final class StopController {
 
-    /** Stages of the stop. */
+    /** Stages of the shutdown. */
     enum Stage {
-        /** Serving, and named in entry answers. */
+        /** Accepts requests, and is returned to callers. */
         SERVING,
-        /** Serving, and no longer named. */
+        /** Accepts requests, and is no longer returned to callers. */
         LEAVING,
-        /** Refusing new requests, ending those in progress. */
+        /** Refuses new requests, and completes those in progress. */
         ENDING,
-        /** Nothing is in progress any more. */
+        /** No requests or attempts are in progress. */
         ENDED
     }
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final AtomicReference<Stage> stage = new AtomicReference<>(Stage.SERVING);
     private final Sinks.Empty<Void> ended = Sinks.empty();
@@ -44,10 +44,10 @@
     /**
      * Creates a controller.
      *
-     * @param active requests and attempts in progress
-     * @param keepMillis how long callers keep an entry answer, in milliseconds
-     * @param announce tells the peers that this router is leaving
-     * @param timer runs the waits
+     * @param active the number of requests and attempts in progress
+     * @param keepMillis how long callers cache the addresses of routers, in milliseconds
+     * @param announce announces to the peers that this router is leaving
+     * @param timer schedules the delays
      */
     StopController(LongSupplier active, LongSupplier keepMillis, Runnable announce, Scheduler timer) {
         this.active = active;
@@ -56,7 +56,7 @@
         this.timer = timer;
     }
 
-    /** Starts the stop; calling it again changes nothing. */
+    /** Starts the shutdown. Further calls have no effect. */
     void drain() {
         if (!stage.compareAndSet(Stage.SERVING, Stage.LEAVING)) {
             return;
@@ -65,13 +65,13 @@
         announce.run();
         Mono.delay(Duration.ofMillis(keepMillis.getAsLong()), timer)
                 .doOnNext(over -> stage.set(Stage.ENDING))
-                .thenMany(Flux.interval(LOOK, timer))
+                .thenMany(Flux.interval(CHECK_INTERVAL, timer))
                 .takeUntil(tick -> active.getAsLong() == 0)
-                .subscribe(tick -> {}, error -> end(), this::end);
+                .subscribe(tick -> {}, error -> complete(), this::complete);
     }
 
-    /** Notes the end. */
-    private void end() {
+    /** Completes the shutdown. */
+    private void complete() {
         stage.set(Stage.ENDED);
         Logger.info("event=ended");
         ended.tryEmitEmpty();
@@ -87,7 +87,7 @@
         return stage.get().compareTo(Stage.LEAVING) > 0 ? RefusalReason.STOPPING : null;
     }
 
-    /** Ends when nothing is in progress any more. */
+    /** Completes when no requests or attempts are in progress. */
     Mono<Void> ended() {
         return ended.asMono();
     }
--- a/apricotstack-router/src/main/java/org/apricotstack/router/package-info.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A router, assembled from the core and its adapters.
+ * The router process, assembled from the core and the adapters.
  */
 package org.apricotstack.router;
--- a/apricotstack-router/src/test/java/org/apricotstack/router/ConfigurationSpreadTest.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/ConfigurationSpreadTest.java
@@ -10,12 +10,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: an accepted configuration reverts somewhere, or never arrives.
- *
- * <p>Sequence of events: the platform is down, or serves an old version; routers restart with an empty memory, wake
- * late, or are cut off; invalid versions are published in between.
- *
- * <p>Cause to be excluded: taking what is offered because of who offers it, and not because it is newer and valid.
+ * Guards against accepted configurations that are reverted on some router or never reach it. The platform may be
+ * unavailable or serve an old version; routers restart with empty memory, resume after a long suspension or are
+ * partitioned; invalid versions are published in between. A version may be adopted only because it is newer and valid,
+ * regardless of who offers it.
  */
 class ConfigurationSpreadTest {
 
@@ -23,19 +21,19 @@
     private static final int BLOCK = 50;
     private static final int BLOCKS = 8;
     private static final int STEPS = 100;
-    private static final double FAULTS = 0.25;
+    private static final double FAULT_SHARE = 0.25;
 
-    /** Blocks of seeds. */
+    /** Returns the indices of the blocks of seeds. */
     static LongStream blocks() {
         return LongStream.range(0, BLOCKS);
     }
 
     @ParameterizedTest
     @MethodSource("blocks")
-    void neverRevertsOnAHostWhoseConnectionsWork(long block) {
+    void neverRevertsOnAHostThatIsNotPartitioned(long block) {
         for (long seed = block * BLOCK; seed < (block + 1) * BLOCK; seed++) {
             SpreadFleet fleet = new SpreadFleet(seed, ROUTERS, false);
-            fleet.run(STEPS, FAULTS);
+            fleet.run(STEPS, FAULT_SHARE);
             assertThat(fleet.reverts()).as("seed %d", seed).isEmpty();
         }
     }
@@ -45,13 +43,15 @@
     void reachesEveryRouterWithinFourSecondsOnceFaultsHaveEnded(long block) {
         for (long seed = block * BLOCK; seed < (block + 1) * BLOCK; seed++) {
             SpreadFleet fleet = new SpreadFleet(seed, ROUTERS, true);
-            fleet.run(STEPS, FAULTS);
+            fleet.run(STEPS, FAULT_SHARE);
             fleet.settle();
             fleet.advance(Duration.ofSeconds(12));
             long last = fleet.settle();
             fleet.advance(Duration.ofSeconds(4));
             for (SpreadNode node : fleet.nodes()) {
-                assertThat(node.look()).as("%s, seed %d", node.process(), seed).isEqualTo(last);
+                assertThat(node.checkVersion())
+                        .as("%s, seed %d", node.process(), seed)
+                        .isEqualTo(last);
                 assertThat(node.isServing())
                         .as("%s serves, seed %d", node.process(), seed)
                         .isTrue();
@@ -60,16 +60,13 @@
     }
 
     /**
-     * Symptom: a fresh router serves an old configuration although the fleet is past it.
-     *
-     * <p>Sequence of events: the platform is stale; a router restarts while its peers are slow to answer, so that the
-     * platform's old version arrives first.
-     *
-     * <p>Cause: the first version that comes was taken for the newest.
+     * Guards against a new router that serves an old configuration. The platform is stale, and a router restarts while
+     * its peers respond slowly, so that the old version of the platform arrives first. The first version that arrives
+     * must not be taken for the newest.
      */
     @ParameterizedTest
     @MethodSource("blocks")
-    void doesNotServeWhatAStalePlatformHandsToAFreshRouter(long seed) {
+    void doesNotServeTheOldVersionOfAStalePlatformOnANewRouter(long seed) {
         SpreadFleet fleet = new SpreadFleet(seed, ROUTERS, false);
         fleet.advance(Duration.ofSeconds(5));
         fleet.platform().becomeStale();
@@ -84,7 +81,7 @@
     void callsThePlatformSeldomWhenAllRoutersStartAtOnce() {
         SpreadFleet fleet = new SpreadFleet(1, 60, false);
         fleet.advance(Duration.ofSeconds(10));
-        // Two document sets; the first call of each router, then the watches of six watchers, five seconds each.
+        // Two document sets: first calls of each router, then long polls of six watchers, five seconds each.
         assertThat(fleet.platform().calls()).isLessThan(60 * 2 * 3 + 6 * 2 * 3);
         assertThat(fleet.nodes()).allMatch(SpreadNode::isServing);
     }
--- a/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
@@ -32,7 +32,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
 
-/** Only a process with a certificate of the fleet is answered by a router, and a router talks to no other. */
+/** Checks that routers and peer clients accept only certificates of the trusted authority. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class PeerTlsTest {
 
@@ -79,15 +79,15 @@
     }
 
     private Mono<ProbeAnswer> probe(SslContext tls) {
-        ProbePayload news = new ProbePayload(CLIENT, List.of(), Map.of());
+        ProbePayload payload = new ProbePayload(CLIENT, List.of(), Map.of());
         return Mono.using(
-                () -> new GrpcPeerClient(CLIENT, tls, System::nanoTime, () -> news),
-                client -> client.probeAddress(new Address("127.0.0.1", router.peerPort()), news),
+                () -> new GrpcPeerClient(CLIENT, tls, System::nanoTime, () -> payload),
+                client -> client.probeAddress(new Address("127.0.0.1", router.peerPort()), payload),
                 GrpcPeerClient::close);
     }
 
     @Test
-    void answersAProcessOfTheFleet() {
+    void answersAClientWithATrustedCertificate() {
         ProbeAnswer answer =
                 probe(TlsContexts.peerClient(files("fleet", "fleet"))).block(Duration.ofSeconds(20));
         assertThat(answer.payload().sender()).isEqualTo(router.process());
@@ -95,19 +95,19 @@
 
     @ParameterizedTest
     @CsvSource({"stranger, fleet", "fleet, stranger", "stranger, stranger"})
-    void refusesAWrongCertificateOnEitherSide(String certificate, String trusted) {
+    void rejectsAnUntrustedCertificateOnEitherSide(String certificate, String trusted) {
         Mono<ProbeAnswer> probe = probe(TlsContexts.peerClient(files(certificate, trusted)));
         assertThatExceptionOfType(RuntimeException.class).isThrownBy(() -> probe.block(Duration.ofSeconds(20)));
     }
 
     @Test
-    void refusesAProcessWithoutTls() {
+    void rejectsAClientWithoutTls() {
         Mono<ProbeAnswer> probe = probe(null);
         assertThatExceptionOfType(RuntimeException.class).isThrownBy(() -> probe.block(Duration.ofSeconds(20)));
     }
 
     @Test
-    void namesTheFilesThatCannotBeUsed() {
+    void reportsUnusableTlsFiles() {
         TlsFiles wrong = new TlsFiles(resource("fleet.key"), resource("fleet.pem"), resource("fleet-root.pem"));
         assertThatExceptionOfType(ApricotException.class)
                 .isThrownBy(() -> TlsContexts.peerServer(wrong))
--- a/apricotstack-router/src/test/java/org/apricotstack/router/SpreadFleet.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/SpreadFleet.java
@@ -17,7 +17,7 @@
 import org.apricotstack.core.replication.ReplicationTopic;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** A seeded schedule of routers that spread configuration, with a failing platform and failing connections. */
+/** Simulates routers that replicate configuration, with a seeded schedule of platform and network faults. */
 final class SpreadFleet {
 
     private static final int STEP_MILLIS = 50;
@@ -29,12 +29,12 @@
     private final Map<HostId, SpreadNode> nodes = new TreeMap<>();
     private final Map<String, Long> servedByHost = new HashMap<>();
     private final List<String> reverts = new ArrayList<>();
-    private final boolean cuts;
+    private final boolean partitions;
     private long incarnations = 1;
 
-    SpreadFleet(long seed, int routers, boolean cuts) {
+    SpreadFleet(long seed, int routers, boolean partitions) {
         this.random = new Random(seed);
-        this.cuts = cuts;
+        this.partitions = partitions;
         this.network = new FaultyNetwork(time, random);
         this.platform = new SpreadPlatform(time);
         for (int i = 0; i < routers; i++) {
@@ -54,7 +54,7 @@
         nodes.put(host, new SpreadNode(process, new DataCentreId("dc" + index % 3), this, random));
     }
 
-    /** Lets all start, then runs a schedule of publications and faults. */
+    /** Waits until all routers have started, then runs a schedule of publications and faults. */
     void run(int steps, double faultShare) {
         advance(Duration.ofSeconds(5));
         for (int step = 0; step < steps; step++) {
@@ -69,15 +69,15 @@
         }
     }
 
-    /** Brings all routers past what the stale platform serves. */
+    /** Publishes a version that the stale platform does not serve, and brings it to all routers. */
     void publishPastStale() {
         platform.publish(ReplicationTopic.CONFIGURATION, "fleet/a", "good");
-        nodes.values().forEach(node -> node.takeFrom(platform));
+        nodes.values().forEach(node -> node.adoptNewestOf(platform));
         advance(Duration.ofSeconds(1));
     }
 
-    /** Restarts the first router while all others are paused for a while. */
-    void restartWhilePeersAreSlow(Duration slow) {
+    /** Restarts the first router while all others are suspended for the given time. */
+    void restartWhilePeersAreSlow(Duration suspension) {
         SpreadNode first = nodes.values().iterator().next();
         first.timer().kill();
         start(first.process().host());
@@ -85,11 +85,11 @@
                 .filter(node -> !node.name().equals(first.name()))
                 .forEach(node -> {
                     node.timer().pause();
-                    time.schedule(() -> node.timer().resume(), slow.toMillis(), TimeUnit.MILLISECONDS);
+                    time.schedule(() -> node.timer().resume(), suspension.toMillis(), TimeUnit.MILLISECONDS);
                 });
     }
 
-    /** Ends all faults and publishes a last good version; returns it. */
+    /** Ends all faults, publishes a final valid version and returns it. */
     long settle() {
         network.heal();
         platform.setDown(false);
@@ -98,17 +98,17 @@
         return platform.publish(ReplicationTopic.CONFIGURATION, "fleet/a", "good");
     }
 
-    /** Lets time pass and looks at each process on the way. */
+    /** Advances the virtual time, and checks each process after every step. */
     void advance(Duration duration) {
         for (long passed = 0; passed < duration.toMillis(); passed += STEP_MILLIS) {
             time.advanceTimeBy(Duration.ofMillis(STEP_MILLIS));
-            nodes.values().forEach(this::look);
+            nodes.values().forEach(this::checkNode);
         }
     }
 
-    /** Notes a serving host that serves less than it or its earlier process has served. */
-    private void look(SpreadNode node) {
-        long version = node.look();
+    /** Records a host that serves an older version than it or its previous process served before. */
+    private void checkNode(SpreadNode node) {
+        long version = node.checkVersion();
         if (!node.isServing()) {
             return;
         }
@@ -136,7 +136,7 @@
                 platform.becomeFresh();
             }
             case 6 -> {
-                if (cuts) {
+                if (partitions) {
                     network.cut(node.name(), randomNode().name());
                 }
             }
--- a/apricotstack-router/src/test/java/org/apricotstack/router/SpreadNode.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/SpreadNode.java
@@ -28,7 +28,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** One process of a seeded schedule: the real replication and membership of a router, with fake connections. */
+/** A simulated router process with real replication and membership and a simulated network. */
 final class SpreadNode implements NetworkNode {
 
     private static final Duration PROBE = Duration.ofMillis(500);
@@ -52,7 +52,7 @@
         replication = new ReplicationService(SpreadNode::validate, new JsonRosterValidator(), metrics, clock);
         table = new MembershipTable(process, 1_000);
         membership = new MembershipService(
-                process, table, replication::roster, replication::versions, replication::heard, clock);
+                process, table, replication::roster, replication::versions, replication::versionsReported, clock);
         FailureDetector detector = new FailureDetector(
                 new Probes(),
                 membership,
@@ -61,8 +61,8 @@
                 table,
                 new FailureDetector.DetectorTime(clock, timer),
                 PROBE_TIMEOUT);
-        NeighbourNews news = new NeighbourNews(process.host(), membership::view, detector);
-        replication.connect(this::fetch, news::tell);
+        NeighbourGossip gossip = new NeighbourGossip(process.host(), membership::view, detector);
+        replication.connect(this::fetch, gossip::broadcast);
         for (ReplicationTopic topic : ReplicationTopic.values()) {
             PlatformWatcher watcher = new PlatformWatcher(
                     fleet.platform(),
@@ -71,19 +71,19 @@
                     () -> !replication.isOpen()
                             || PlatformWatcher.isWatcher(membership.view(), process.host(), dataCentre),
                     Duration.ofSeconds(5),
-                    new PlatformWatcher.Pauses(timer, random::nextDouble));
+                    new PlatformWatcher.Delays(timer, random::nextDouble));
             watcher.start(START_WAIT);
         }
         Mono.delay(START_WAIT, timer).subscribe(over -> replication.gate().endWait());
         Flux.interval(Duration.ZERO, PROBE_TIMEOUT, timer)
                 .takeWhile(tick -> !replication.isOpen())
                 .onBackpressureDrop()
-                .subscribe(tick -> askSeeds());
+                .subscribe(tick -> fetchFromSeeds());
         Flux.interval(PROBE, timer).onBackpressureDrop().subscribe(tick -> detector.runRound()
                 .subscribe(done -> {}, error -> {}));
     }
 
-    /** Versions with a document that says so are invalid, for every process alike. */
+    /** Versions with a document whose body is "bad" are invalid on all processes. */
     private static Validated<FleetConfiguration> validate(DocumentSet documents) {
         boolean bad = documents.documents().values().stream().anyMatch(d -> "bad".equals(d.body()));
         return bad
@@ -91,8 +91,8 @@
                 : new Validated<>(FleetConfigurations.small(documents.version(), FleetLimits.DEFAULT), List.of());
     }
 
-    /** Asks all other hosts, as a process does that knows its seeds only. */
-    private void askSeeds() {
+    /** Fetches from all other hosts, as a process does that knows only its seed peers. */
+    private void fetchFromSeeds() {
         for (SpreadNode seed : fleet.nodes()) {
             if (seed == this) {
                 continue;
@@ -129,13 +129,13 @@
                 .timeout(Duration.ofSeconds(1), timer);
     }
 
-    /** Takes the newest version past what the platform serves. */
-    void takeFrom(SpreadPlatform platform) {
+    /** Adopts the newest published version, also if the platform serves an older one. */
+    void adoptNewestOf(SpreadPlatform platform) {
         replication.offer(ReplicationTopic.CONFIGURATION, platform.newest(ReplicationTopic.CONFIGURATION));
     }
 
-    /** Checks that no version in force or served here ever goes back; returns the version in force. */
-    long look() {
+    /** Checks that the version in force never decreases, and returns it. */
+    long checkVersion() {
         long version = replication.replica(ReplicationTopic.CONFIGURATION).version();
         if (version < served) {
             throw new IllegalStateException(process + " went back from " + served + " to " + version);
@@ -166,14 +166,14 @@
         return timer;
     }
 
-    /** Probes over the faulty network. */
+    /** Sends probes over the simulated network. */
     private final class Probes implements PeerProbes {
 
         @Override
-        public Mono<ProbeAnswer> probe(RosterHost target, ProbePayload news) {
+        public Mono<ProbeAnswer> probe(RosterHost target, ProbePayload payload) {
             SpreadNode node = fleet.node(target.id());
             Flux<ProbeAnswer> work = Flux.defer(() -> {
-                node.membership.receive(news);
+                node.membership.receive(payload);
                 return Flux.just(node.answer());
             });
             return fleet.network().call(SpreadNode.this, node, work).next();
--- a/apricotstack-router/src/test/java/org/apricotstack/router/SpreadPlatform.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/SpreadPlatform.java
@@ -14,14 +14,14 @@
 import reactor.core.publisher.Mono;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** The platform of a seeded schedule: it may be down, or serve an old version. */
+/** A simulated platform that may be unavailable or serve an old version. */
 final class SpreadPlatform implements PlatformDocuments {
 
-    private static final Duration LOOK = Duration.ofMillis(20);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     private final VirtualTimeScheduler time;
     private final Map<ReplicationTopic, DocumentSet> sets = new EnumMap<>(ReplicationTopic.class);
-    private final Map<ReplicationTopic, DocumentSet> old = new EnumMap<>(ReplicationTopic.class);
+    private final Map<ReplicationTopic, DocumentSet> staleSets = new EnumMap<>(ReplicationTopic.class);
     private boolean down;
     private long calls;
 
@@ -50,18 +50,18 @@
         down = isDown;
     }
 
-    /** Serves what is published now, whatever is published later. */
+    /** From now on serves the current version, even after later publications. */
     void becomeStale() {
-        old.putAll(sets);
+        staleSets.putAll(sets);
     }
 
-    /** Returns the newest version, whatever is served. */
+    /** Returns the newest published version, also if an older one is served. */
     DocumentDelta newest(ReplicationTopic topic) {
         return sets.get(topic).since(0);
     }
 
     void becomeFresh() {
-        old.clear();
+        staleSets.clear();
     }
 
     long calls() {
@@ -69,15 +69,15 @@
     }
 
     private DocumentSet served(ReplicationTopic topic) {
-        return old.getOrDefault(topic, sets.get(topic));
+        return staleSets.getOrDefault(topic, sets.get(topic));
     }
 
     @Override
     public Mono<DocumentDelta> changes(ReplicationTopic topic, long since, long beyond, Duration wait) {
         calls++;
-        return Flux.interval(Duration.ZERO, LOOK, time)
+        return Flux.interval(Duration.ZERO, POLL_INTERVAL, time)
                 .onBackpressureDrop()
-                .take(wait.dividedBy(LOOK))
+                .take(wait.dividedBy(POLL_INTERVAL))
                 .concatMap(tick ->
                         down ? Mono.<Long>error(new IllegalStateException("platform is down")) : Mono.just(tick))
                 .filter(tick -> served(topic).version() > beyond)
