--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/Demonstration.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/Demonstration.java
@@ -19,10 +19,10 @@
 import org.apricotstack.core.configuration.FleetLimits;
 import org.apricotstack.router.Router;
 
-/** Replays a generated trace against a whole deployment in one process, and shows what came of it. */
+/** Replays a generated trace against a complete deployment in one process and prints the results. */
 public final class Demonstration {
 
-    private static final Duration MOST_WAIT = Duration.ofSeconds(75);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(75);
 
     private final DeploymentShape shape;
     private final PrintStream out;
@@ -39,12 +39,12 @@
     }
 
     /**
-     * Runs it.
+     * Runs the demonstration.
      *
-     * @param requests requests of the trace
-     * @param perSecond their rate
+     * @param requests number of requests in the trace
+     * @param perSecond mean request rate per second
      * @param seed seed of the trace
-     * @return whether every request ended as stated, nothing ran twice, and no engine holds memory
+     * @return whether every request ended as expected and no non-idempotent call ran twice
      */
     public boolean run(int requests, double perSecond, long seed) {
         EngineSpeed speed = EngineSpeed.USUAL;
@@ -53,7 +53,7 @@
                 + " engines, " + shape.routers() * shape.dataCentres().size() + " routers, "
                 + shape.dataCentres().size() + " data centres.");
         try (LocalDeployment deployment = new LocalDeployment(shape, speed, 1);
-                ReplayCaller caller = new ReplayCaller(deployment.entries(), MOST_WAIT)) {
+                ReplayCaller caller = new ReplayCaller(deployment.entries(), REQUEST_TIMEOUT)) {
             List<TraceRecord> trace = TraceGenerator.generate(new TraceOptions(
                     seed,
                     requests,
@@ -64,29 +64,29 @@
                     0.05,
                     shape.accountNames(),
                     DeploymentDocuments.SERVICES));
-            AtomicInteger ended = new AtomicInteger();
-            List<ReplayResult> results = Replay.run(trace, caller, 1, result -> progress(ended, requests));
+            AtomicInteger completed = new AtomicInteger();
+            List<ReplayResult> results = Replay.run(trace, caller, 1, result -> progress(completed, requests));
             out.println();
             ReplayReport report = new ReplayReport(results, FleetLimits.DEFAULT, speed, 1);
             out.println(report.table());
             LocalDeployment.await("no engine holds memory", () -> deployment.heldTokens() == 0);
             out.println("Memory held by engines at the end: " + deployment.heldTokens() + " tokens");
-            out.println("Most runs of one call that must not be repeated: "
-                    + deployment.ledger().mostRuns());
+            out.println("Maximum number of runs of a non-idempotent call: "
+                    + deployment.ledger().maxRuns());
             out.println("Counters that are not zero: " + counters(deployment));
-            return report.broken().isEmpty() && deployment.ledger().mostRuns() <= 1;
+            return report.unexpected().isEmpty() && deployment.ledger().maxRuns() <= 1;
         }
     }
 
     /** Prints progress. */
-    private void progress(AtomicInteger ended, int requests) {
-        int count = ended.incrementAndGet();
+    private void progress(AtomicInteger completed, int requests) {
+        int count = completed.incrementAndGet();
         if (count % Math.max(1, requests / 10) == 0) {
             out.println(count + " of " + requests + " requests have ended");
         }
     }
 
-    /** Sums the counters of all routers. */
+    /** Sums the counters over all routers, without those of replication and those that are zero. */
     private static SortedMap<String, Long> counters(LocalDeployment deployment) {
         SortedMap<String, Long> sums = new TreeMap<>();
         for (Router router : deployment.routers().values()) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/DeploymentDocuments.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/DeploymentDocuments.java
@@ -11,22 +11,22 @@
 import org.apricotstack.bench.trace.TraceOptions;
 import org.apricotstack.core.id.Address;
 
-/** Writes the configuration documents of a deployment. */
+/** Creates the configuration documents of a deployment. */
 public final class DeploymentDocuments {
 
-    /** Key of the document with the limits of the fleet. */
+    /** Key of the document with the fleet limits. */
     public static final String LIMITS = "fleet/limits";
 
     /** Time between heartbeats of an attempt, in milliseconds. */
     private static final long HEARTBEAT_MILLIS = 250;
 
-    /** The one model. */
+    /** Name of the only model. */
     public static final String MODEL = "general";
 
-    /** The one plain service. */
+    /** Name of the only plain service. */
     public static final String PLAIN = "application";
 
-    /** The services that traces ask for. */
+    /** Names of the services that traces call. */
     public static final TraceOptions.Services SERVICES =
             new TraceOptions.Services("short-answer", "summary", "review", "confirmation");
 
@@ -35,7 +35,7 @@
     private DeploymentDocuments() {}
 
     /**
-     * Writes all documents but the upstreams.
+     * Creates all documents except those of the upstreams.
      *
      * @param shape the deployment
      * @return documents by key
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Writes the limits of the fleet.
+     * Creates the document with the fleet limits.
      *
-     * @param heartbeatMillis time between events of an attempt of which nothing else is to be said, in milliseconds
+     * @param heartbeatMillis time between heartbeats of an attempt without other events, in milliseconds
      * @return the document
      */
     public static String limits(long heartbeatMillis) {
@@ -78,20 +78,20 @@
                 .toString();
     }
 
-    /** Names the group of engines of a data centre. */
+    /** Returns the name of the group of engines of a data centre. */
     static String group(String dataCentre) {
         return MODEL + "-" + dataCentre;
     }
 
-    /** Names the group of plain replicas of a data centre. */
+    /** Returns the name of the group of plain replicas of a data centre. */
     static String plainGroup(String dataCentre) {
         return PLAIN + "-" + dataCentre;
     }
 
     /**
-     * Writes which preset is in force.
+     * Creates the document that selects the preset.
      *
-     * @param name its name
+     * @param name name of the preset
      * @return the document
      */
     public static String preset(String name) {
@@ -99,16 +99,16 @@
     }
 
     /**
-     * Writes the model with another revision.
+     * Creates the model document with a revision.
      *
-     * @param revision the revision that engines are to load
+     * @param revision the revision that engines have to load
      * @return the document
      */
     public static String model(String revision) {
         return object().put("revision", revision).put("deterministic", true).toString();
     }
 
-    /** Writes a client account; its key is {@code key-} and its name. */
+    /** Creates a client account; its API key is {@code key-} followed by its name. */
     private static String account(String name, boolean large) {
         ObjectNode document = object();
         document.putArray("keyDigests").add(KeyDigests.of("key-" + name));
@@ -126,7 +126,7 @@
         return document.toString();
     }
 
-    /** Writes a service. */
+    /** Creates a service. */
     private static String service(String kind, String target, int priority, boolean repeatable, long limitMillis) {
         return object().put("kind", kind)
                 .put("target", target)
@@ -137,7 +137,7 @@
                 .toString();
     }
 
-    /** Writes a group. */
+    /** Creates a group. */
     private static String groupDocument(String dataCentre, String kind, String target) {
         return object().put("dataCentre", dataCentre)
                 .put("kind", kind)
@@ -145,7 +145,7 @@
                 .toString();
     }
 
-    /** Writes a preset. */
+    /** Creates a preset. */
     private static String preset(double slowdownWeight, double shortShare, int shedFrom, double limitFactor) {
         return object().put("slowdownWeight", slowdownWeight)
                 .put("shortShare", shortShare)
@@ -155,12 +155,12 @@
     }
 
     /**
-     * Writes an engine.
+     * Creates an engine.
      *
-     * @param dataCentre where it runs
-     * @param address where it listens
+     * @param dataCentre its data centre
+     * @param address address on which it listens
      * @param speed its speed and size
-     * @param refusesOldFencing whether it refuses orders with an old fencing number
+     * @param refusesOldFencing whether it refuses orders with an outdated fencing number
      * @return the document
      */
     public static String engine(String dataCentre, Address address, EngineSpeed speed, boolean refusesOldFencing) {
@@ -175,10 +175,10 @@
     }
 
     /**
-     * Writes a replica of the plain service.
+     * Creates a replica of the plain service.
      *
-     * @param dataCentre where it runs
-     * @param address where it listens
+     * @param dataCentre its data centre
+     * @param address address on which it listens
      * @return the document
      */
     public static String replica(String dataCentre, Address address) {
@@ -189,12 +189,12 @@
     }
 
     /**
-     * Writes a router of the roster.
+     * Creates a router entry of the roster.
      *
-     * @param dataCentre where it runs
-     * @param callerAddress where callers connect
-     * @param peerAddress where peers connect
-     * @param leaving whether it is listed as leaving
+     * @param dataCentre its data centre
+     * @param callerAddress address for callers
+     * @param peerAddress address for other routers
+     * @param leaving whether it is listed as draining
      * @return the document
      */
     public static String router(String dataCentre, Address callerAddress, Address peerAddress, boolean leaving) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/DeploymentShape.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/DeploymentShape.java
@@ -4,15 +4,15 @@
 import java.util.stream.IntStream;
 
 /**
- * The shape of a deployment.
+ * Size and layout of a deployment.
  *
  * @param name its name
  * @param dataCentres names of its data centres
- * @param engines model engines in each data centre
- * @param replicas replicas of the plain service in each data centre
- * @param routers routers in each data centre
- * @param accounts client accounts; the first few are large
- * @param slowdownWeight weight of the slowdown of short prompts in the preset for ordinary days
+ * @param engines number of engines in each data centre
+ * @param replicas number of replicas of the plain service in each data centre
+ * @param routers number of routers in each data centre
+ * @param accounts number of client accounts; the first ones are large
+ * @param slowdownWeight weight of the slowdown of short prompts in the preset for normal operation
  */
 public record DeploymentShape(
         String name,
@@ -23,11 +23,11 @@
         int accounts,
         double slowdownWeight) {
 
-    /** The gift registry's deployment: slowdown of short prompts weighs more. */
+    /** Deployment of the gift registry: gives more weight to the slowdown of short prompts. */
     public static final DeploymentShape REGISTRY =
             new DeploymentShape("registry", List.of("mid-a", "mid-b", "mid-c"), List.of(5, 5, 4), 1, 2, 10, 0.9);
 
-    /** The cooperative's deployment: time to first token over all lengths weighs more. */
+    /** Deployment of the cooperative: gives more weight to the time to first token over all lengths. */
     public static final DeploymentShape COOPERATIVE =
             new DeploymentShape("cooperative", List.of("tex-a", "tex-b", "tex-c"), List.of(6, 5, 5), 1, 2, 10, 0.3);
 
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/LocalDeployment.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/LocalDeployment.java
@@ -26,18 +26,18 @@
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Schedulers;
 
-/** A whole deployment in one process, connected over loopback TCP. */
+/** A complete deployment in one process, connected over loopback TCP. */
 public final class LocalDeployment implements AutoCloseable {
 
-    /** The operators' key of all routers. */
+    /** The admin key of all routers. */
     public static final String ADMIN_KEY = "operators";
 
     private static final Address ANY_PORT = new Address("127.0.0.1", 0);
-    private static final Duration CALL = Duration.ofMillis(5);
-    private static final int MOST_SEEDS = 6;
-    private static final Duration LOOK = Duration.ofMillis(10);
-    private static final Duration MOST_WAIT = Duration.ofSeconds(30);
-    /** Short times, for demonstrations and tests. */
+    private static final Duration SERVICE_DELAY = Duration.ofMillis(5);
+    private static final int MAX_SEED_PEERS = 6;
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(10);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(30);
+    /** Short timeouts and intervals, for demonstrations and tests. */
     public static final RouterSettings.Timings QUICK = new RouterSettings.Timings(200, 200, 600, 500, 5_000, 1_000);
 
     private final DeploymentShape shape;
@@ -53,23 +53,23 @@
     private long incarnations = 1;
 
     /**
-     * Starts the stand-ins and the routers, and waits until all routers serve.
+     * Starts the stand-ins and the routers, and waits until all routers are serving.
      *
      * @param shape the deployment
      * @param speed speed and size of the engines
-     * @param pace how much faster than modelled the engines run
+     * @param pace speed of the engines relative to the model
      */
     public LocalDeployment(DeploymentShape shape, EngineSpeed speed, double pace) {
         this(shape, speed, pace, QUICK);
     }
 
     /**
-     * Starts the stand-ins and the routers, and waits until all routers serve.
+     * Starts the stand-ins and the routers, and waits until all routers are serving.
      *
      * @param shape the deployment
      * @param speed speed and size of the engines
-     * @param pace how much faster than modelled the engines run
-     * @param timings times of the protocol between routers
+     * @param pace speed of the engines relative to the model
+     * @param timings timeouts and intervals of the protocol between routers
      */
     public LocalDeployment(DeploymentShape shape, EngineSpeed speed, double pace, RouterSettings.Timings timings) {
         this.timings = timings;
@@ -94,15 +94,16 @@
             String dataCentre = shape.dataCentres().get(i);
             for (int e = 1; e <= shape.engines().get(i); e++) {
                 String name = "engine-" + dataCentre + "-" + e;
-                boolean refuses = e % 2 == 1;
-                StandInEngine engine = new StandInEngine(ANY_PORT, speed, pace, refuses);
+                boolean enforcesFencing = e % 2 == 1;
+                StandInEngine engine = new StandInEngine(ANY_PORT, speed, pace, enforcesFencing);
                 engines.put(name, engine);
                 documents.put(
-                        "upstreams/" + name, DeploymentDocuments.engine(dataCentre, engine.address(), speed, refuses));
+                        "upstreams/" + name,
+                        DeploymentDocuments.engine(dataCentre, engine.address(), speed, enforcesFencing));
             }
             for (int r = 1; r <= shape.replicas(); r++) {
                 String name = "replica-" + dataCentre + "-" + r;
-                StandInService replica = new StandInService(ANY_PORT, ledger, CALL);
+                StandInService replica = new StandInService(ANY_PORT, ledger, SERVICE_DELAY);
                 replicas.put(name, replica);
                 documents.put("upstreams/" + name, DeploymentDocuments.replica(dataCentre, replica.address()));
             }
@@ -111,15 +112,15 @@
     }
 
     /**
-     * Starts a router; the roster is published apart.
+     * Starts a router without publishing the roster.
      *
-     * @param name its host
+     * @param name name of its host
      * @param dataCentre its data centre
      * @return the router
      */
     public Router startRouter(String name, String dataCentre) {
         List<Address> seeds = routers.values().stream()
-                .limit(MOST_SEEDS)
+                .limit(MAX_SEED_PEERS)
                 .map(router -> new Address(ANY_PORT.ip(), router.peerPort()))
                 .toList();
         RouterSettings settings = new RouterSettings(
@@ -144,15 +145,15 @@
         return router;
     }
 
-    /** Publishes the routers that run now as the roster. */
+    /** Publishes a roster with all running routers. */
     public void publishRoster() {
         publishRoster(Map.of());
     }
 
     /**
-     * Publishes the routers that run now as the roster.
+     * Publishes a roster with all running routers.
      *
-     * @param peerAddresses where peers are to connect, for routers that are not reached directly
+     * @param peerAddresses addresses for other routers, by host, of routers behind a relay
      */
     public void publishRoster(Map<String, Address> peerAddresses) {
         Map<String, String> documents = new LinkedHashMap<>();
@@ -167,9 +168,9 @@
     }
 
     /**
-     * Publishes a preset that is not in force, and waits until that version is in force on all routers.
+     * Publishes an unused preset, and waits until all routers have applied that version.
      *
-     * @param key the key of the preset's document
+     * @param key key of the preset document
      * @return the version
      */
     public long publishAndAwait(String key) {
@@ -181,53 +182,53 @@
     }
 
     /**
-     * Kills a router without a word; it stays on the roster.
+     * Kills a router without draining it; it stays on the roster.
      *
-     * @param name its host
+     * @param name name of its host
      */
     public void killRouter(String name) {
         routers.remove(name).kill();
     }
 
     /**
-     * Stops a router gracefully and removes it from the roster when it has ended.
+     * Drains a router, and removes it from the roster once it has stopped.
      *
-     * @param name its host
+     * @param name name of its host
      */
     public void retireRouter(String name) {
         Router router = routers.get(name);
         router.drain();
-        router.ended().block(MOST_WAIT);
+        router.ended().block(MAX_WAIT);
         router.close();
         routers.remove(name);
         platform.publish(ReplicationTopic.ROSTER, Map.of(), List.of("routers/" + name));
     }
 
     /**
-     * Waits until something holds.
+     * Waits for a condition.
      *
-     * @param what what is waited for, for the error
+     * @param what description of the condition, for the error message
      * @param condition the condition
-     * @throws ApricotException if it does not hold after a long time
+     * @throws ApricotException if it does not hold within 30 s
      */
     public static void await(String what, BooleanSupplier condition) {
-        Boolean held = Flux.interval(Duration.ZERO, LOOK)
+        Boolean fulfilled = Flux.interval(Duration.ZERO, POLL_INTERVAL)
                 .onBackpressureDrop()
                 .publishOn(Schedulers.boundedElastic(), 1)
                 .map(tick -> condition.getAsBoolean())
                 .any(holds -> holds)
-                .timeout(MOST_WAIT, Mono.just(false))
+                .timeout(MAX_WAIT, Mono.just(false))
                 .block();
-        if (!Boolean.TRUE.equals(held)) {
+        if (!Boolean.TRUE.equals(fulfilled)) {
             throw new ApricotException(
-                    ErrorCode.ENVIRONMENT, "Waited in vain until " + what + "; look at the log for the cause.");
+                    ErrorCode.ENVIRONMENT, "Timed out waiting until " + what + "; check the log for the cause.");
         }
     }
 
     /**
-     * Returns where callers connect.
+     * Returns the addresses for callers.
      *
-     * @return addresses of all routers that run
+     * @return addresses of all running routers
      */
     public List<Address> entries() {
         List<Address> addresses = new ArrayList<>();
@@ -236,7 +237,7 @@
     }
 
     /**
-     * Returns the memory that all engines hold.
+     * Returns the memory held on all engines.
      *
      * @return tokens
      */
@@ -245,7 +246,7 @@
     }
 
     /**
-     * Returns the shape.
+     * Returns the size and layout.
      *
      * @return the shape
      */
@@ -263,7 +264,7 @@
     }
 
     /**
-     * Returns the ledger of plain calls.
+     * Returns the execution counts of plain calls.
      *
      * @return the ledger
      */
@@ -290,7 +291,7 @@
     }
 
     /**
-     * Returns the routers that run.
+     * Returns the running routers.
      *
      * @return routers by host
      */
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whole deployments in one process, for demonstrations, measurements and tests.
+ * Complete deployments in one process, for demonstrations, measurements and tests.
  */
 package org.apricotstack.bench.deployment;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/AnswerText.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/AnswerText.java
@@ -5,15 +5,15 @@
 import com.google.common.hash.Hashing;
 
 /**
- * The true answer to a prompt, as all stand-in engines give it: a function of the prompt alone, so that a client
- * can tell a whole and true answer from one that was cut, crossed or doubled.
+ * The expected answer to a prompt, a function of the prompt alone that all stand-in engines compute alike. A client
+ * can therefore detect truncated, mixed-up and duplicated answers.
  */
 public final class AnswerText {
 
     private AnswerText() {}
 
     /**
-     * Computes the digest from which the answer follows.
+     * Computes the digest that determines the answer.
      *
      * @param prompt the prompt as UTF-8
      * @return the digest
@@ -26,7 +26,7 @@
      * Returns one token of the answer.
      *
      * @param digest the digest of the prompt
-     * @param index the place of the token
+     * @param index the index of the token
      * @return its text
      */
     public static String token(long digest, long index) {
@@ -35,13 +35,13 @@
     }
 
     /**
-     * Returns a whole answer.
+     * Returns the complete answer.
      *
      * @param prompt the prompt
      * @param tokens its length
      * @return its text
      */
-    public static String whole(String prompt, long tokens) {
+    public static String complete(String prompt, long tokens) {
         long digest = digest(prompt.getBytes(StandardCharsets.UTF_8));
         StringBuilder text = new StringBuilder();
         for (long i = 0; i < tokens; i++) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineFaults.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineFaults.java
@@ -4,31 +4,31 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The faults that a stand-in has now. */
+/** The faults that are currently injected into a stand-in. */
 public final class EngineFaults {
 
     /** Kinds of faults. */
     public enum Fault {
-        /** Open streams stop and stay open, while new connections work. */
+        /** Open streams stall without being closed; new connections can be established. */
         SILENT_STREAMS,
-        /** Nothing is computed. */
+        /** The engine computes no steps. */
         PAUSED,
-        /** Pieces carry the name of another request. */
+        /** Chunks carry the id of another request. */
         CROSSED,
-        /** Streams end in the middle. */
+        /** Streams end before the answer is complete. */
         CUT,
-        /** Memory is kept when a stream's connection is lost, until it is released by name. */
+        /** Memory of a stream is not released when its connection is lost, only by an explicit release. */
         LEAKING,
-        /** New work is refused because the upstream is leaving. */
+        /** New work is refused because the upstream is draining. */
         LEAVING,
-        /** The work is run, and the connection is closed before the answer. */
+        /** The call is executed, and the connection is closed before the response. */
         DIES_AFTER_RUN
     }
 
     private final Set<Fault> active = ConcurrentHashMap.newKeySet();
 
     /**
-     * Starts a fault.
+     * Injects a fault.
      *
      * @param fault the fault
      */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Ends a fault.
+     * Removes a fault.
      *
      * @param fault the fault
      */
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Tells whether a fault is active.
+     * Returns whether a fault is active.
      *
      * @param fault the fault
      * @return whether it is
@@ -58,7 +58,7 @@
     /**
      * Returns the active faults.
      *
-     * @return a copy
+     * @return a copy of the set
      */
     public Set<Fault> active() {
         return active.isEmpty() ? EnumSet.noneOf(Fault.class) : EnumSet.copyOf(active);
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineModel.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineModel.java
@@ -9,8 +9,8 @@
 import org.apricotstack.core.dispatch.PrefixIndex;
 
 /**
- * A model of an engine in steps: continuous batching, chunked prefill by priority, KV memory, and a prefix cache in
- * the memory that no stream holds. It has no clock; each step tells how long it takes. Calls must come one at a time.
+ * Step model of an engine: continuous batching, chunked prefill by priority, KV memory, and a prefix cache in the
+ * memory that no stream holds. It has no clock; each step returns its duration. Not thread-safe.
  */
 public final class EngineModel {
 
@@ -30,10 +30,10 @@
     }
 
     /**
-     * What one step did.
+     * Result of one batch step.
      *
-     * @param micros how long it took, in microseconds
-     * @param tokens answer tokens that it generated
+     * @param micros its duration, in microseconds
+     * @param tokens the answer tokens generated
      */
     public record Step(double micros, List<Token> tokens) {}
 
@@ -41,7 +41,7 @@
      * One generated token.
      *
      * @param stream the request
-     * @param index its place in the answer
+     * @param index its index in the answer
      */
     public record Token(ModelledStream stream, long index) {}
 
@@ -49,7 +49,7 @@
      * Adds a request.
      *
      * @param stream the request
-     * @return whether it was taken; one that can never fit is not
+     * @return whether it was accepted; a request that exceeds the memory of the engine is not
      */
     public boolean add(ModelledStream stream) {
         if (stream.memoryTokens() > speed.memoryTokens() || streams.containsKey(stream.name())) {
@@ -60,11 +60,11 @@
     }
 
     /**
-     * Reserves memory for a prompt that several engines hold together.
+     * Reserves memory for a prompt that is distributed over several engines.
      *
-     * @param name the name under which it is held
-     * @param tokens memory in tokens
-     * @return whether there was room
+     * @param name the name of the reservation
+     * @param tokens size in tokens
+     * @return whether enough memory was free
      */
     public boolean reserve(String name, long tokens) {
         if (heldTokens + tokens > speed.memoryTokens() || reservations.containsKey(name)) {
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Releases what is held under a name.
+     * Releases the stream and the reservation of a name.
      *
      * @param name the name
-     * @return whether anything was held
+     * @return whether either existed
      */
     public boolean release(String name) {
         ModelledStream stream = streams.remove(name);
@@ -95,23 +95,23 @@
     }
 
     /**
-     * Tells whether a step would do anything.
+     * Returns whether there is any request to compute.
      *
-     * @return whether there is a request
+     * @return whether the next step has work
      */
     public boolean hasWork() {
         return !streams.isEmpty();
     }
 
     /**
-     * Computes one step.
+     * Computes one batch step.
      *
-     * @return what it did
+     * @return the result of the step
      */
     public Step step() {
         List<ModelledStream> ordered = new ArrayList<>(streams.values());
         ordered.sort(Comparator.comparingInt(ModelledStream::priority));
-        ordered.forEach(this::admitIfRoom);
+        ordered.forEach(this::admitIfMemoryFree);
         List<ModelledStream> decoding = ordered.stream()
                 .filter(stream -> stream.isAdmitted() && stream.isPrefilled())
                 .toList();
@@ -135,8 +135,8 @@
         return new Step(micros, tokens);
     }
 
-    /** Gives memory to a waiting request if there is room, and counts what is cached of its prompt. */
-    private void admitIfRoom(ModelledStream stream) {
+    /** Allocates memory for a waiting request if enough is free, and looks up the cached prefix of its prompt. */
+    private void admitIfMemoryFree(ModelledStream stream) {
         if (stream.isAdmitted() || heldTokens + stream.memoryTokens() > speed.memoryTokens()) {
             return;
         }
@@ -149,7 +149,7 @@
         trimCache();
     }
 
-    /** Ends a request whose answer is whole; its prompt stays in the cache while there is room. */
+    /** Removes a request whose answer is complete; the blocks of its prompt go to the cache. */
     private void finishIfDone(ModelledStream stream) {
         if (!stream.isFinished()) {
             return;
@@ -159,18 +159,18 @@
         trimCache();
     }
 
-    /** Evicts the blocks that were not used for the longest time, down to the memory that no stream holds. */
+    /** Evicts the least recently used blocks until the cache fits into the memory that no stream holds. */
     private void trimCache() {
-        long room = (speed.memoryTokens() - heldTokens) / PrefixIndex.TOKENS_PER_FINGERPRINT;
+        long maxBlocks = (speed.memoryTokens() - heldTokens) / PrefixIndex.TOKENS_PER_FINGERPRINT;
         var eldest = cache.keySet().iterator();
-        while (cache.size() > room && eldest.hasNext()) {
+        while (cache.size() > maxBlocks && eldest.hasNext()) {
             eldest.next();
             eldest.remove();
         }
     }
 
     /**
-     * Returns the memory that streams and reservations hold.
+     * Returns the memory held by streams and reservations.
      *
      * @return tokens
      */
@@ -179,9 +179,9 @@
     }
 
     /**
-     * Lists the names under which memory is held or wanted.
+     * Returns the names of all streams and reservations, also of streams that wait for memory.
      *
-     * @return names
+     * @return the names
      */
     public List<String> names() {
         List<String> names = new ArrayList<>(streams.keySet());
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineRunner.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineRunner.java
@@ -17,29 +17,29 @@
 import reactor.core.publisher.Sinks;
 import reactor.core.scheduler.Scheduler;
 
-/** Runs an engine model in real time and sends the pieces of the answers. All state is touched by one worker only. */
+/** Runs an engine model in real time and sends the chunks of the answers. All state is confined to one worker. */
 final class EngineRunner implements AutoCloseable {
 
-    /** Steps while a fault stops the engine are looked at again after this time, in milliseconds. */
-    private static final long FAULT_LOOK_MILLIS = 5;
+    /** Interval at which a paused engine checks whether the fault has ended, in milliseconds. */
+    private static final long FAULT_POLL_MILLIS = 5;
 
     private final EngineModel model;
     private final EngineFaults faults;
     private final MonotonicClock clock;
     private final Scheduler.Worker worker;
     private final double pace;
-    private final Map<String, Open> open = new HashMap<>();
-    private final Map<String, Open> holders = new HashMap<>();
+    private final Map<String, Entry> open = new HashMap<>();
+    private final Map<String, Entry> holders = new HashMap<>();
     private boolean stepping;
 
     /**
      * Creates a runner.
      *
      * @param speed speed and size of the engine
-     * @param faults the faults that it has
-     * @param clock the local clock
-     * @param timer runs the steps
-     * @param pace how much faster than modelled the steps run
+     * @param faults the faults injected into it
+     * @param clock the local monotonic clock
+     * @param timer scheduler for the steps
+     * @param pace speed of the steps relative to the model
      */
     EngineRunner(EngineSpeed speed, EngineFaults faults, MonotonicClock clock, Scheduler timer, double pace) {
         this.model = new EngineModel(speed);
@@ -52,50 +52,50 @@
     /**
      * A request to run.
      *
-     * @param stream the request as modelled
+     * @param stream the modelled request
      * @param digest the digest of its prompt
-     * @param resumeOffset tokens of the answer that are not wanted again
-     * @param owner who asked
-     * @param timeLimitMillis the time limit that came with it
+     * @param resumeOffset number of answer tokens to skip, as the caller has them already
+     * @param owner router that sent the request
+     * @param timeLimitMillis time limit of the request, in milliseconds
      */
     record Job(ModelledStream stream, long digest, long resumeOffset, String owner, long timeLimitMillis) {}
 
-    /** Runs a request; the flow ends without an element if it was refused. */
+    /** Runs a request; the returned flux completes empty if the request was refused. */
     Flux<String> run(Job job) {
         Sinks.Many<String> sink = Sinks.many().unicast().onBackpressureBuffer();
         worker.schedule(() -> start(job, sink));
         return sink.asFlux().doOnCancel(() -> worker.schedule(() -> disconnected(job.stream.name(), sink)));
     }
 
-    /** Adds a request to the model. */
+    /** Adds a request to the model and confirms it. */
     private void start(Job job, Sinks.Many<String> sink) {
         if (!model.add(job.stream)) {
             sink.tryEmitComplete();
             return;
         }
-        Open entry = new Open(job, sink, clock.millis());
+        Entry entry = new Entry(job, sink, clock.millis());
         open.put(job.stream.name(), entry);
         holders.put(job.stream.name(), entry);
         sink.tryEmitNext(": accepted\n\n");
-        stepSoon(0);
+        scheduleStep(0);
     }
 
-    /** Schedules the next step. */
-    private void stepSoon(long micros) {
+    /** Schedules the next step unless one is scheduled. */
+    private void scheduleStep(long micros) {
         if (!stepping) {
             stepping = true;
             worker.schedule(this::step, micros, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Computes a step; its pieces are sent when its time has passed. */
+    /** Computes a step; its tokens are sent after its duration. */
     private void step() {
         stepping = false;
         if (!model.hasWork()) {
             return;
         }
         if (faults.has(Fault.PAUSED)) {
-            stepSoon(TimeUnit.MILLISECONDS.toMicros(FAULT_LOOK_MILLIS));
+            scheduleStep(TimeUnit.MILLISECONDS.toMicros(FAULT_POLL_MILLIS));
             return;
         }
         EngineModel.Step step = model.step();
@@ -104,15 +104,15 @@
                 () -> {
                     stepping = false;
                     step.tokens().forEach(this::send);
-                    stepSoon(0);
+                    scheduleStep(0);
                 },
                 (long) (step.micros() / pace),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** Sends one token, and the end after the last. */
+    /** Sends one token, and the end of the answer after the last token. */
     private void send(EngineModel.Token token) {
-        Open entry = open.get(token.stream().name());
+        Entry entry = open.get(token.stream().name());
         if (token.stream().isFinished() && token.index() + 1 == token.stream().outputTokens()) {
             open.remove(token.stream().name());
             holders.remove(token.stream().name());
@@ -120,15 +120,15 @@
         if (entry == null || faults.has(Fault.SILENT_STREAMS)) {
             return;
         }
-        boolean wanted = token.index() >= entry.job.resumeOffset;
-        if (wanted && faults.has(Fault.CUT) && token.index() > entry.job.resumeOffset) {
+        boolean requested = token.index() >= entry.job.resumeOffset;
+        if (requested && faults.has(Fault.CUT) && token.index() > entry.job.resumeOffset) {
             open.remove(token.stream().name());
             model.release(token.stream().name());
             holders.remove(token.stream().name());
             entry.sink.tryEmitComplete();
             return;
         }
-        if (wanted) {
+        if (requested) {
             entry.sink.tryEmitNext(chunk(entry, token.index()));
         }
         if (token.index() + 1 == token.stream().outputTokens()) {
@@ -137,8 +137,8 @@
         }
     }
 
-    /** Writes a piece of one token. */
-    private String chunk(Open entry, long index) {
+    /** Returns the chunk of one token. */
+    private String chunk(Entry entry, long index) {
         ObjectNode document = document(entry);
         document.put("offset", index).put("count", 1);
         document.putArray("choices")
@@ -149,8 +149,8 @@
         return "data: " + Json.write(document) + "\n\n";
     }
 
-    /** Writes the end of an answer. */
-    private String end(Open entry) {
+    /** Returns the last chunk of an answer, with the token usage. */
+    private String end(Entry entry) {
         ObjectNode document = document(entry);
         document.putArray("choices").addObject().put("index", 0).put("text", "").put("finish_reason", "length");
         ModelledStream stream = entry.job.stream;
@@ -162,13 +162,13 @@
         return "data: " + Json.write(document) + "\n\ndata: [DONE]\n\n";
     }
 
-    /** Starts a document; a crossed one names another request. */
-    private ObjectNode document(Open entry) {
+    /** Creates a document with the request id; the fault CROSSED replaces it by another id. */
+    private ObjectNode document(Entry entry) {
         String name = entry.job.stream.name();
         return Json.STRICT.createObjectNode().put("id", faults.has(Fault.CROSSED) ? "other-" + name : name);
     }
 
-    /** Sends a sign of life on each open stream. */
+    /** Sends a heartbeat on each open stream. */
     void heartbeat() {
         worker.schedule(() -> {
             if (!faults.has(Fault.SILENT_STREAMS) && !faults.has(Fault.PAUSED)) {
@@ -177,17 +177,17 @@
         });
     }
 
-    /** Takes the loss of a connection: the memory is released, unless the engine has the fault that keeps it. */
+    /** Handles a lost connection: releases the memory of the stream, unless the fault LEAKING is active. */
     private void disconnected(String name, Sinks.Many<String> sink) {
-        Open entry = open.get(name);
+        Entry entry = open.get(name);
         if (entry != null && entry.sink == sink && !faults.has(Fault.LEAKING)) {
             release(name);
         }
     }
 
-    /** Releases what is held under a name. */
+    /** Releases a stream or reservation. */
     private boolean release(String name) {
-        Open entry = open.remove(name);
+        Entry entry = open.remove(name);
         holders.remove(name);
         if (entry != null) {
             entry.sink.tryEmitComplete();
@@ -195,31 +195,31 @@
         return model.release(name);
     }
 
-    /** Releases what is held under a name, from another thread. */
-    void releaseSoon(String name) {
+    /** Releases a stream or reservation; can be called from any thread. */
+    void releaseAsync(String name) {
         worker.schedule(() -> release(name));
     }
 
-    /** Reserves memory and calls back with whether there was room. */
+    /** Reserves memory and passes to the callback whether enough was free. */
     void reserve(String name, long tokens, String owner, long timeLimitMillis, Consumer<Boolean> done) {
         worker.schedule(() -> {
             boolean reserved = model.reserve(name, tokens);
             if (reserved) {
                 ModelledStream holder = new ModelledStream(name, tokens, 0, 0, 1, List.of());
-                holders.put(name, new Open(new Job(holder, 0, 0, owner, timeLimitMillis), null, clock.millis()));
+                holders.put(name, new Entry(new Job(holder, 0, 0, owner, timeLimitMillis), null, clock.millis()));
             }
             done.accept(reserved);
         });
     }
 
-    /** Lists what is held and calls back with it. */
+    /** Passes all streams and reservations to the callback. */
     void held(Consumer<List<HeldByName>> done) {
         worker.schedule(() -> {
             List<HeldByName> held = new ArrayList<>();
             for (String name : model.names()) {
-                Open entry = holders.get(name);
+                Entry entry = holders.get(name);
                 if (entry != null) {
-                    long age = clock.millis() - entry.sinceMillis;
+                    long age = clock.millis() - entry.startMillis;
                     held.add(new HeldByName(
                             entry.job.owner, new HeldStream(name, null, age, entry.job.timeLimitMillis)));
                 }
@@ -229,14 +229,14 @@
     }
 
     /**
-     * Something held, with its owner as text.
+     * A stream or reservation with its owner as text.
      *
-     * @param owner who asked for it
-     * @param stream what is held
+     * @param owner router that sent the request for it
+     * @param stream the stream or reservation
      */
     record HeldByName(String owner, HeldStream stream) {}
 
-    /** Reads the memory held and calls back with it. */
+    /** Passes the held memory, in tokens, to the callback. */
     void heldTokens(LongConsumer done) {
         worker.schedule(() -> done.accept(model.heldTokens()));
     }
@@ -247,11 +247,11 @@
     }
 
     /**
-     * A request that runs.
+     * A running request or a reservation.
      *
      * @param job the request
-     * @param sink takes its pieces; {@code null} for a reservation
-     * @param sinceMillis when it began, in the local clock
+     * @param sink receives the chunks; {@code null} for a reservation
+     * @param startMillis start time by the local clock, in milliseconds
      */
-    private record Open(Job job, Sinks.Many<String> sink, long sinceMillis) {}
+    private record Entry(Job job, Sinks.Many<String> sink, long startMillis) {}
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineSpeed.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineSpeed.java
@@ -4,10 +4,10 @@
  * The speed and size of a modelled engine.
  *
  * @param memoryTokens KV memory, in tokens
- * @param stepTokens tokens that one step computes at most
- * @param stepMicros time of a step apart from its tokens, in microseconds
- * @param prefillMicrosPerToken time for a prompt token, in microseconds
- * @param decodeMicrosPerStream time for an answer token, in microseconds
+ * @param stepTokens maximum number of tokens that one step computes
+ * @param stepMicros fixed duration of a step, without its tokens, in microseconds
+ * @param prefillMicrosPerToken prefill time per prompt token, in microseconds
+ * @param decodeMicrosPerStream decode time per answer token, in microseconds
  */
 public record EngineSpeed(
         long memoryTokens,
@@ -16,7 +16,7 @@
         double prefillMicrosPerToken,
         double decodeMicrosPerStream) {
 
-    /** An engine of 400,000 tokens that computes about 80,000 prompt tokens a second. */
+    /** An engine with memory for 400,000 tokens that prefills about 80,000 tokens per second. */
     public static final EngineSpeed USUAL = new EngineSpeed(400_000, 4_096, 4_000, 10, 60);
 
     private static final double MICROS_PER_MILLI = 1_000;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineState.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineState.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.apricotstack.adapters.json.Json;
 
-/** What a stand-in engine was ordered to be, and whether it refuses orders with an old fencing number. */
+/** Model, revision, role and adapters that a stand-in engine was ordered to load. */
 final class EngineState {
 
     private final boolean refusesOldFencing;
@@ -16,14 +16,14 @@
     private String role = "";
     private List<String> adapters = List.of();
     private long fencing;
-    private final List<Long> taken = new ArrayList<>();
+    private final List<Long> accepted = new ArrayList<>();
 
     /** Creates the state of an engine without a model. */
     EngineState(boolean refusesOldFencing) {
         this.refusesOldFencing = refusesOldFencing;
     }
 
-    /** Takes an order, or refuses one that is older than what was taken. */
+    /** Applies an order; refuses one with a lower fencing number than the last order, if fencing is enforced. */
     synchronized boolean order(JsonNode order) {
         long number = order.path("fencing").asLong();
         if (refusesOldFencing && number < fencing) {
@@ -35,11 +35,11 @@
         role = order.path("role").asText();
         adapters = new ArrayList<>();
         order.path("adapters").forEach(adapter -> adapters.add(adapter.asText()));
-        taken.add(number);
+        accepted.add(number);
         return true;
     }
 
-    /** Writes the state. */
+    /** Returns the state as JSON. */
     synchronized String write() {
         ObjectNode document = Json.STRICT
                 .createObjectNode()
@@ -56,8 +56,8 @@
         return revision;
     }
 
-    /** Returns the fencing numbers of the orders that were taken. */
-    synchronized List<Long> taken() {
-        return List.copyOf(taken);
+    /** Returns the fencing numbers of the accepted orders. */
+    synchronized List<Long> accepted() {
+        return List.copyOf(accepted);
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/ModelledStream.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/ModelledStream.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** One request inside a modelled engine. */
+/** A request in an engine model. */
 public final class ModelledStream {
 
     private final String name;
@@ -18,13 +18,13 @@
     private boolean admitted;
 
     /**
-     * Creates a request that waits.
+     * Creates a waiting request.
      *
-     * @param name the name under which memory is held
+     * @param name the name of the stream
      * @param promptTokens length of the prompt
      * @param outputTokens length of the answer
      * @param priority 0 for the most urgent
-     * @param engines engines that share the prompt
+     * @param engines number of engines that share the prompt
      * @param blocks fingerprints of the leading blocks of the prompt
      */
     public ModelledStream(
@@ -38,7 +38,7 @@
         this.blocks = blocks;
     }
 
-    /** Takes memory and skips what is cached. */
+    /** Marks the stream as admitted and skips the prefill of its cached tokens. */
     void admit(long cached) {
         admitted = true;
         cachedTokens = Math.min(cached, promptTokens - 1);
@@ -46,34 +46,34 @@
     }
 
     /**
-     * Computes prompt tokens.
+     * Prefills a part of the prompt.
      *
-     * @param budget tokens that this engine may compute
-     * @return tokens of the budget that were used
+     * @param budget maximum number of tokens that this engine computes
+     * @return number of tokens used of the budget
      */
     long prefill(long budget) {
-        long wanted = promptTokens - prefilled;
-        long computed = Math.min(wanted, budget * engines);
+        long remaining = promptTokens - prefilled;
+        long computed = Math.min(remaining, budget * engines);
         prefilled += computed;
         return (computed + engines - 1) / engines;
     }
 
-    /** Generates one token and returns its place in the answer. */
+    /** Generates one token and returns its index in the answer. */
     long generate() {
         return generated++;
     }
 
-    /** Tells whether the whole prompt is computed. */
+    /** Returns whether prefill is complete. */
     boolean isPrefilled() {
         return prefilled >= promptTokens;
     }
 
-    /** Tells whether the whole answer is generated. */
+    /** Returns whether decode is complete. */
     public boolean isFinished() {
         return generated >= outputTokens;
     }
 
-    /** Tells whether it holds memory. */
+    /** Returns whether the stream holds memory. */
     boolean isAdmitted() {
         return admitted;
     }
@@ -81,7 +81,7 @@
     /**
      * Returns the name.
      *
-     * @return the name under which memory is held
+     * @return the name of the stream
      */
     public String name() {
         return name;
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Returns the prompt tokens that were not computed again.
+     * Returns the number of prompt tokens that came from the prefix cache.
      *
      * @return tokens
      */
@@ -119,7 +119,7 @@
         return priority;
     }
 
-    /** Returns the memory that it takes in this engine, in tokens. */
+    /** Returns the memory that the stream needs in this engine, in tokens. */
     long memoryTokens() {
         return memoryTokens;
     }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/StandInEngine.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/StandInEngine.java
@@ -29,7 +29,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** A stand-in for a model engine, on loopback, with faults on command. */
+/** A simulated engine with an HTTP server and fault injection. */
 public final class StandInEngine implements AutoCloseable {
 
     private static final Duration HEARTBEAT = Duration.ofMillis(200);
@@ -47,10 +47,10 @@
     /**
      * Starts an engine.
      *
-     * @param listen the address; port 0 lets the machine choose
+     * @param listen the address; port 0 for any free port
      * @param speed its speed and size
-     * @param pace how much faster than modelled it runs
-     * @param refusesOldFencing whether it refuses orders with an old fencing number
+     * @param pace speed relative to the model
+     * @param refusesOldFencing whether it refuses orders with an outdated fencing number
      */
     public StandInEngine(Address listen, EngineSpeed speed, double pace, boolean refusesOldFencing) {
         MonotonicClock clock = System::nanoTime;
@@ -65,7 +65,7 @@
         this.heartbeats = Flux.interval(HEARTBEAT, timer).subscribe(tick -> runner.heartbeat());
     }
 
-    /** Lists the routes. */
+    /** Registers the routes. */
     private void routes(HttpServerRoutes routes) {
         routes.post(EngineProtocol.COMPLETIONS, this::complete)
                 .post(EngineProtocol.RESERVATIONS, this::reserve)
@@ -94,7 +94,7 @@
         });
     }
 
-    /** Reads a job from a request. */
+    /** Parses the job of a request. */
     private static EngineRunner.Job job(HttpServerRequest request, JsonNode document) {
         byte[] prompt = document.path("prompt").asText().getBytes(StandardCharsets.UTF_8);
         String helpers = request.requestHeaders().get(EngineProtocol.HELPERS, "");
@@ -115,7 +115,7 @@
                 request.requestHeaders().getInt(EngineProtocol.TIME_LIMIT, Integer.MAX_VALUE));
     }
 
-    /** Computes the fingerprints of the whole leading blocks of a prompt, each of the prefix that ends with it. */
+    /** Computes a fingerprint for each complete block of a prompt, over the prefix that ends with the block. */
     private static List<Long> blocks(byte[] prompt) {
         List<Long> blocks = new ArrayList<>();
         long previous = 0;
@@ -131,7 +131,7 @@
         return blocks;
     }
 
-    /** Sends the pieces of an answer; a request that does not fit is refused as not run. */
+    /** Streams the chunks of an answer; a request that does not fit is refused as not run. */
     private Publisher<Void> stream(HttpServerResponse response, EngineRunner.Job job) {
         return runner.run(job)
                 .switchOnFirst((first, all) -> {
@@ -161,7 +161,7 @@
                         Mono.from(response.status(reserved ? 200 : UNAVAILABLE).send()));
     }
 
-    /** Lists what is held. */
+    /** Lists the streams and reservations. */
     private Publisher<Void> held(HttpServerRequest request, HttpServerResponse response) {
         return response.sendString(Mono.<List<EngineRunner.HeldByName>>create(sink -> runner.held(sink::success))
                 .map(held -> {
@@ -175,25 +175,25 @@
                 }));
     }
 
-    /** Releases what is held under a name. */
+    /** Releases a stream or reservation. */
     private Publisher<Void> release(HttpServerRequest request, HttpServerResponse response) {
-        runner.releaseSoon(request.param("name"));
+        runner.releaseAsync(request.param("name"));
         return response.status(204).send();
     }
 
-    /** Takes an order. */
+    /** Handles an order. */
     private Publisher<Void> order(HttpServerRequest request, HttpServerResponse response) {
         return request.receive().aggregate().asByteArray().flatMap(body -> {
             try {
-                boolean taken = state.order(Json.STRICT.readTree(body));
-                return Mono.from(response.status(taken ? 200 : 409).send());
+                boolean accepted = state.order(Json.STRICT.readTree(body));
+                return Mono.from(response.status(accepted ? 200 : 409).send());
             } catch (IOException e) {
                 return Mono.from(response.status(400).send());
             }
         });
     }
 
-    /** Starts or ends a fault by name. */
+    /** Injects or removes a fault by name. */
     private Publisher<Void> setFault(HttpServerRequest request, HttpServerResponse response, boolean start) {
         try {
             Fault fault = Fault.valueOf(request.param("fault"));
@@ -209,7 +209,7 @@
     }
 
     /**
-     * Returns the faults, to start and end them.
+     * Returns the faults, through which tests inject and remove them.
      *
      * @return the faults
      */
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Returns how many completions were started.
+     * Returns the number of completions started.
      *
      * @return the number
      */
@@ -236,30 +236,30 @@
     }
 
     /**
-     * Gives the engine an order as any sender could, whether it is the owner or not.
+     * Sends an order to the engine, from any sender, whether or not it is the owner.
      *
      * @param order the order as JSON
-     * @return whether the engine took it
+     * @return whether the engine accepted it
      */
     public boolean giveOrder(String order) {
         try {
             return state.order(Json.STRICT.readTree(order));
         } catch (IOException e) {
-            throw new IllegalArgumentException("The order is no JSON.", e);
+            throw new IllegalArgumentException("The order is not valid JSON.", e);
         }
     }
 
     /**
-     * Returns the fencing numbers of the orders that were taken, in order.
+     * Returns the fencing numbers of the accepted orders, in order.
      *
      * @return the numbers
      */
     public List<Long> ordersTaken() {
-        return state.taken();
+        return state.accepted();
     }
 
     /**
-     * Reads the memory that is held.
+     * Returns the memory that is held.
      *
      * @return tokens
      */
@@ -276,7 +276,7 @@
         return new Address(server.host(), server.port());
     }
 
-    /** Stops at once: connections break, memory is gone. */
+    /** Stops immediately: connections are closed, and all state is lost. */
     @Override
     public void close() {
         heartbeats.dispose();
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for model engines: a step model of batching, memory and prefix caching, and its HTTP face.
+ * Simulated engines: a step model of batching, memory and prefix caching, and its HTTP server.
  */
 package org.apricotstack.bench.engine;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/platform/StandInPlatform.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/platform/StandInPlatform.java
@@ -24,22 +24,22 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** A stand-in for the platform's documents: it can be published to here, and read and watched over HTTP. */
+/** A simulated platform: documents are published through this class, and read and watched over HTTP. */
 public final class StandInPlatform implements AutoCloseable {
 
     private final Map<ReplicationTopic, DocumentSet> sets = new EnumMap<>(ReplicationTopic.class);
-    private final Map<ReplicationTopic, DocumentSet> frozen = new EnumMap<>(ReplicationTopic.class);
-    private final Map<ReplicationTopic, DocumentSet> remembered = new EnumMap<>(ReplicationTopic.class);
+    private final Map<ReplicationTopic, DocumentSet> stale = new EnumMap<>(ReplicationTopic.class);
+    private final Map<ReplicationTopic, DocumentSet> snapshot = new EnumMap<>(ReplicationTopic.class);
     private final Sinks.Many<Long> changes = Sinks.many().replay().latestOrDefault(0L);
     private final AtomicLong calls = new AtomicLong();
     private final DisposableServer server;
     private volatile boolean down;
-    private long published;
+    private long publications;
 
     /**
      * Starts a platform without documents.
      *
-     * @param listen the address; port 0 lets the machine choose
+     * @param listen the address; port 0 for any free port
      */
     public StandInPlatform(Address listen) {
         for (ReplicationTopic topic : ReplicationTopic.values()) {
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Publishes changes as one new version.
+     * Publishes changes as a new version.
      *
      * @param topic the document set
      * @param changed documents by key
@@ -68,36 +68,36 @@
         Map<String, Long> removals = new TreeMap<>();
         removed.forEach(key -> removals.put(key, version));
         sets.put(topic, current.with(new DocumentDelta(current.version(), version, false, documents, removals)));
-        changes.tryEmitNext(++published);
+        changes.tryEmitNext(++publications);
         return version;
     }
 
-    /** Remembers what is published now, to serve it later as a stale platform does. */
-    public synchronized void remember() {
-        remembered.putAll(sets);
+    /** Takes a snapshot of the published documents, which can be served later to simulate a stale platform. */
+    public synchronized void takeSnapshot() {
+        snapshot.putAll(sets);
     }
 
-    /** Serves from now on what was remembered. */
-    public synchronized void freezeAsRemembered() {
-        frozen.putAll(remembered);
+    /** Serves the snapshot instead of the current documents. */
+    public synchronized void serveSnapshot() {
+        stale.putAll(snapshot);
     }
 
-    /** Serves what is published. */
-    public synchronized void unfreeze() {
-        frozen.clear();
-        changes.tryEmitNext(++published);
+    /** Serves the current documents again. */
+    public synchronized void serveCurrent() {
+        stale.clear();
+        changes.tryEmitNext(++publications);
     }
 
     /**
-     * Takes the service down or up.
+     * Makes all calls fail, or succeed again.
      *
-     * @param isDown whether each call is to fail
+     * @param isDown whether every call fails
      */
     public void setDown(boolean isDown) {
         down = isDown;
     }
 
-    /** Answers a read or a watch. */
+    /** Handles a read or a watch. */
     private Publisher<Void> read(HttpServerRequest request, HttpServerResponse response) {
         calls.incrementAndGet();
         if (down) {
@@ -122,18 +122,18 @@
                 .then();
     }
 
-    /** Returns the set that is served now. */
+    /** Returns the document set that is currently served. */
     private synchronized DocumentSet served(ReplicationTopic topic) {
-        return frozen.getOrDefault(topic, sets.get(topic));
+        return stale.getOrDefault(topic, sets.get(topic));
     }
 
-    /** Reads a number of the query. */
+    /** Parses a number of the query; 0 if it is absent. */
     private static long number(Map<String, List<String>> query, String name) {
         return Long.parseLong(query.getOrDefault(name, List.of("0")).get(0));
     }
 
     /**
-     * Returns the newest version.
+     * Returns the latest version.
      *
      * @param topic the document set
      * @return the version
@@ -143,7 +143,7 @@
     }
 
     /**
-     * Returns how many calls were made; a waiting watch is one.
+     * Returns the number of calls, including waiting watches.
      *
      * @return the number
      */
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/platform/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for the platform's documents.
+ * Simulated platform that serves documents.
  */
 package org.apricotstack.bench.platform;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/EntryList.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/EntryList.java
@@ -13,61 +13,61 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** The entry hosts as a caller knows them: it asks one of them, keeps the answer for its time, and asks again. */
+/** The entry hosts known to a caller: fetched from one of them, cached for the time it states, and then refreshed. */
 final class EntryList {
 
-    private static final Duration WAIT = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final HttpClient client;
-    private final List<Address> first;
+    private final List<Address> configured;
     private volatile List<Address> current;
-    private volatile long askAgainNanos;
+    private volatile long refreshNanos;
 
-    /** Creates a list from the addresses that a caller was configured with. */
-    EntryList(HttpClient client, List<Address> first) {
+    /** Creates a list with the configured addresses of a caller. */
+    EntryList(HttpClient client, List<Address> configured) {
         this.client = client;
-        this.first = List.copyOf(first);
-        this.current = this.first;
-        this.askAgainNanos = System.nanoTime();
+        this.configured = List.copyOf(configured);
+        this.current = this.configured;
+        this.refreshNanos = System.nanoTime();
     }
 
-    /** Returns the addresses in the order in which to try them, starting at a place that spreads requests. */
+    /** Returns the addresses in the order in which to try them, rotated so that requests are spread over the hosts. */
     Mono<List<Address>> get(long spread) {
-        if (System.nanoTime() < askAgainNanos) {
+        if (System.nanoTime() < refreshNanos) {
             return Mono.just(rotated(current, spread));
         }
-        askAgainNanos = System.nanoTime() + WAIT.toNanos();
-        List<Address> toAsk = new ArrayList<>(rotated(current, spread));
-        toAsk.addAll(first);
-        return Flux.fromIterable(toAsk)
-                .concatMap(address -> ask(address).onErrorResume(error -> Mono.empty()))
+        refreshNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
+        List<Address> candidates = new ArrayList<>(rotated(current, spread));
+        candidates.addAll(configured);
+        return Flux.fromIterable(candidates)
+                .concatMap(address -> fetch(address).onErrorResume(error -> Mono.empty()))
                 .next()
                 .thenReturn(0)
                 .defaultIfEmpty(0)
                 .map(done -> rotated(current, spread));
     }
 
-    /** Asks one host. */
-    private Mono<JsonNode> ask(Address address) {
+    /** Fetches the entry hosts from one host. */
+    private Mono<JsonNode> fetch(Address address) {
         return client.get()
                 .uri("http://" + address + "/v1/entries")
                 .responseSingle((response, body) -> body.asByteArray())
-                .timeout(WAIT)
+                .timeout(REQUEST_TIMEOUT)
                 .map(EntryList::parse)
                 .filter(answer -> !answer.path("entries").isEmpty())
-                .doOnNext(this::keep);
+                .doOnNext(this::cache);
     }
 
-    /** Keeps an answer for the stated time. */
-    private void keep(JsonNode answer) {
+    /** Caches a response for the time that it states. */
+    private void cache(JsonNode answer) {
         List<Address> entries = new ArrayList<>();
         answer.path("entries").forEach(entry -> entries.add(Address.parse(entry.asText())));
         current = List.copyOf(entries);
-        askAgainNanos = System.nanoTime() + answer.path("keepMillis").asLong() * NANOS_PER_MILLI;
+        refreshNanos = System.nanoTime() + answer.path("keepMillis").asLong() * NANOS_PER_MILLI;
     }
 
-    /** Reads an answer. */
+    /** Parses a response; returns an empty object if it is not JSON. */
     private static JsonNode parse(byte[] bytes) {
         try {
             return Json.STRICT.readTree(bytes);
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Rotates a list. */
+    /** Returns a rotated copy of a list. */
     private static List<Address> rotated(List<Address> list, long spread) {
         List<Address> result = new ArrayList<>(list);
         if (!result.isEmpty()) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/Replay.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/Replay.java
@@ -9,7 +9,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Open-loop replay: each request is sent when the trace says, whether earlier ones have ended or not. */
+/** Open-loop replay: each request is sent at its time in the trace, whether or not earlier ones have completed. */
 public final class Replay {
 
     private Replay() {}
@@ -18,9 +18,9 @@
      * Replays a trace.
      *
      * @param records its requests
-     * @param caller sends them
-     * @param speed how much faster than the trace the replay runs
-     * @param progress is told each result
+     * @param caller client that sends them
+     * @param speed replay speed relative to the timestamps of the trace
+     * @param progress callback for each result
      * @return all results, in the order in which the requests ended
      */
     public static List<ReplayResult> run(
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayCaller.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayCaller.java
@@ -26,33 +26,32 @@
 import reactor.netty.resources.ConnectionProvider;
 
 /**
- * Sends the requests of a trace as a careful caller does: it asks for entries, tries the next host if it cannot
- * connect, uses a ticket for what must not be repeated and asks again with the same ticket, and checks each answer
- * against the true one.
+ * Client that sends the requests of a trace as recommended to callers: it fetches the entry hosts, tries the next host
+ * if it cannot connect, uses a ticket for each non-idempotent call, retries with the same ticket, and compares each
+ * answer with the expected one.
  */
 public final class ReplayCaller implements AutoCloseable {
 
-    private static final int MOST_CONNECTIONS = 2_000;
-    private static final int TICKET_TRIES = 12;
-    private static final Duration TICKET_PAUSE = Duration.ofMillis(500);
+    private static final int MAX_CONNECTIONS = 2_000;
+    private static final int MAX_TICKET_RETRIES = 12;
+    private static final Duration TICKET_RETRY_DELAY = Duration.ofMillis(500);
     private static final String DATA = "data: ";
 
-    private final ConnectionProvider connections = ConnectionProvider.builder("replay")
-            .maxConnections(MOST_CONNECTIONS)
-            .build();
+    private final ConnectionProvider connections =
+            ConnectionProvider.builder("replay").maxConnections(MAX_CONNECTIONS).build();
     private final HttpClient client = HttpClient.create(connections).disableRetry(true);
     private final EntryList entries;
-    private final Duration mostWait;
+    private final Duration timeout;
 
     /**
      * Creates a caller.
      *
-     * @param firstEntries addresses of entry hosts to ask first
-     * @param mostWait time after which a request without an end counts as late
+     * @param firstEntries configured addresses of entry hosts
+     * @param timeout time after which an unfinished request counts as late
      */
-    public ReplayCaller(List<Address> firstEntries, Duration mostWait) {
+    public ReplayCaller(List<Address> firstEntries, Duration timeout) {
         this.entries = new EntryList(client, firstEntries);
-        this.mostWait = mostWait;
+        this.timeout = timeout;
     }
 
     /**
@@ -60,18 +59,18 @@
      *
      * @param record the request
      * @param spread a number that spreads requests over the entry hosts
-     * @param sinceDueMillis reads the time since the trace wanted it sent, in milliseconds
-     * @return how it ended
+     * @param sinceDueMillis supplies the time since the send time in the trace, in milliseconds
+     * @return the result
      */
     public Mono<ReplayResult> send(TraceRecord record, long spread, LongSupplier sinceDueMillis) {
         Call call = new Call(record, sinceDueMillis);
         Mono<ReplayResult> result = record.inputTokens() == 0
                 ? entries.get(spread).flatMap(hosts -> plain(call, hosts))
                 : entries.get(spread).flatMap(hosts -> completion(call, hosts));
-        return result.timeout(mostWait, Mono.fromSupplier(() -> call.ended(ReplayOutcome.LATE, "")));
+        return result.timeout(timeout, Mono.fromSupplier(() -> call.ended(ReplayOutcome.LATE, "")));
     }
 
-    /** Sends a completion to the first host that can be reached. */
+    /** Sends a completion request to the first reachable host. */
     private Mono<ReplayResult> completion(Call call, List<Address> hosts) {
         TraceRecord record = call.record;
         String prompt = PromptText.of(record.hashIds(), record.inputTokens());
@@ -95,12 +94,12 @@
                 .defaultIfEmpty(call.ended(ReplayOutcome.UNREACHABLE, ""));
     }
 
-    /** Tells whether an error proves that nothing was sent. */
+    /** Returns whether an error proves that nothing was sent. */
     private static boolean neverConnected(Throwable error) {
         return error instanceof ConnectException;
     }
 
-    /** Sets what all requests carry. */
+    /** Creates a client with the headers that all requests carry. */
     private HttpClient headers(TraceRecord record, String ticket) {
         return client.headers(headers -> {
             headers.set("Authorization", "Bearer key-" + record.account());
@@ -114,7 +113,7 @@
         });
     }
 
-    /** Reads the answer to a completion. */
+    /** Reads the response to a completion request. */
     private static Flux<ReplayResult> read(
             Call call, String prompt, HttpClientResponse response, Connection connection) {
         if (response.status().code() != 200) {
@@ -130,27 +129,27 @@
         StringBuilder text = new StringBuilder();
         return HttpLines.of(connection)
                 .filter(line -> line.startsWith(DATA))
-                .mapNotNull(line -> take(call, prompt, text, line.substring(DATA.length())))
+                .mapNotNull(line -> handleEvent(call, prompt, text, line.substring(DATA.length())))
                 .concatWith(Mono.fromSupplier(() -> call.ended(ReplayOutcome.UNKNOWN, "no_end_mark")))
                 .take(1)
                 .doFinally(end -> connection.dispose());
     }
 
-    /** Takes one event; returns the result if it was the last. */
-    private static ReplayResult take(Call call, String prompt, StringBuilder text, String event) {
+    /** Handles one event; returns the result if it was the last, otherwise {@code null}. */
+    private static ReplayResult handleEvent(Call call, String prompt, StringBuilder text, String event) {
         if (event.startsWith("[DONE]")) {
-            String truth = AnswerText.whole(prompt, call.record.outputTokens());
-            return call.ended(truth.contentEquals(text) ? ReplayOutcome.COMPLETED : ReplayOutcome.WRONG, "");
+            String expected = AnswerText.complete(prompt, call.record.outputTokens());
+            return call.ended(expected.contentEquals(text) ? ReplayOutcome.COMPLETED : ReplayOutcome.WRONG, "");
         }
         try {
             JsonNode document = Json.STRICT.readTree(event);
             if (document.has("code")) {
                 return call.refused(event);
             }
-            String piece = document.path("choices").path(0).path("text").asText();
-            if (!piece.isEmpty()) {
+            String chunk = document.path("choices").path(0).path("text").asText();
+            if (!chunk.isEmpty()) {
                 call.firstToken();
-                text.append(piece);
+                text.append(chunk);
             }
             return null;
         } catch (IOException e) {
@@ -158,7 +157,7 @@
         }
     }
 
-    /** Sends a call that must not be repeated: first a ticket, then the call, and again with the same ticket. */
+    /** Sends a non-idempotent call: requests a ticket, then sends the call, and retries it with the same ticket. */
     private Mono<ReplayResult> plain(Call call, List<Address> hosts) {
         return Flux.fromIterable(hosts)
                 .concatMap(host -> headers(call.record, null)
@@ -174,9 +173,9 @@
                 .defaultIfEmpty(call.ended(ReplayOutcome.UNREACHABLE, ""));
     }
 
-    /** Makes the call, on another host each time, until its outcome is known or the tries are used up. */
-    private Mono<ReplayResult> withTicket(Call call, List<Address> hosts, String ticket, int tries) {
-        Address host = hosts.get(tries % hosts.size());
+    /** Sends the call, to another host each time, until its outcome is known or all retries are used. */
+    private Mono<ReplayResult> withTicket(Call call, List<Address> hosts, String ticket, int retries) {
+        Address host = hosts.get(retries % hosts.size());
         String body = "call-" + call.record.hashIds().get(0);
         return headers(call.record, ticket)
                 .post()
@@ -187,20 +186,20 @@
                         .map(text -> response.status().code() == 200 ? answered(call, body, text) : call.refused(text)))
                 .onErrorResume(error -> Mono.just(call.ended(ReplayOutcome.UNKNOWN, "connection_lost")))
                 .flatMap(result -> {
-                    boolean again = result.outcome() == ReplayOutcome.UNKNOWN && isWorthAsking(result.code());
-                    if (!again || tries >= TICKET_TRIES) {
+                    boolean retry = result.outcome() == ReplayOutcome.UNKNOWN && isWorthRetrying(result.code());
+                    if (!retry || retries >= MAX_TICKET_RETRIES) {
                         return Mono.just(result);
                     }
-                    return Mono.delay(TICKET_PAUSE).then(withTicket(call, hosts, ticket, tries + 1));
+                    return Mono.delay(TICKET_RETRY_DELAY).then(withTicket(call, hosts, ticket, retries + 1));
                 });
     }
 
-    /** Tells whether asking again with the same ticket can tell more. */
-    private static boolean isWorthAsking(String code) {
+    /** Returns whether a retry with the same ticket can reveal the outcome. */
+    private static boolean isWorthRetrying(String code) {
         return !"ticket_spent".equals(code) && !"ticket_home_lost".equals(code);
     }
 
-    /** Judges the answer to a plain call. */
+    /** Checks the answer to a plain call. */
     private static ReplayResult answered(Call call, String body, String text) {
         call.firstToken();
         return call.ended(text.equals("done " + body) ? ReplayOutcome.COMPLETED : ReplayOutcome.WRONG, "");
@@ -211,31 +210,31 @@
         connections.dispose();
     }
 
-    /** One request on its way. */
+    /** A request in progress. */
     private static final class Call {
         private final TraceRecord record;
         private final LongSupplier sinceDueMillis;
         private double firstTokenMillis = -1;
 
-        /** Creates a request that was not sent yet. */
+        /** Creates a request that has not been sent yet. */
         private Call(TraceRecord record, LongSupplier sinceDueMillis) {
             this.record = record;
             this.sinceDueMillis = sinceDueMillis;
         }
 
-        /** Notes the first piece of the answer. */
+        /** Records the time of the first token. */
         private void firstToken() {
             if (firstTokenMillis < 0) {
                 firstTokenMillis = sinceDueMillis.getAsLong();
             }
         }
 
-        /** Makes the result. */
+        /** Creates the result. */
         private ReplayResult ended(ReplayOutcome outcome, String code) {
             return new ReplayResult(record, outcome, code, firstTokenMillis, sinceDueMillis.getAsLong());
         }
 
-        /** Makes the result of a problem document. */
+        /** Creates the result for a problem document. */
         private ReplayResult refused(String problem) {
             try {
                 JsonNode document = Json.STRICT.readTree(problem);
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayOutcome.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayOutcome.java
@@ -2,28 +2,28 @@
 
 import org.apricotstack.bench.trace.TraceRecord.Expected;
 
-/** How a replayed request ended, as its caller saw it. */
+/** Outcome of a replayed request as observed by the caller. */
 public enum ReplayOutcome {
-    /** With the whole, true answer. */
+    /** The complete, correct answer. */
     COMPLETED,
-    /** With a refusal that says it was not run. */
+    /** A refusal which states that the request was not run. */
     NOT_RUN,
-    /** With a failure that says the outcome is unknown. */
+    /** A failure with unknown outcome. */
     UNKNOWN,
-    /** With an answer that is not the true one, or not whole and yet marked as whole. */
+    /** An incorrect answer, or an incomplete one that is marked as complete. */
     WRONG,
-    /** Without any answer within its time limit. */
+    /** No complete answer within the time limit. */
     LATE,
-    /** Without reaching any entry host. */
+    /** No entry host was reachable. */
     UNREACHABLE;
 
     /**
-     * Tells whether the outcome is one that was stated for the request.
+     * Returns whether the outcome is an expected one.
      *
-     * @param expected what was stated
-     * @return whether the promise was kept
+     * @param expected the outcomes expected for the request
+     * @return whether the outcome is among them
      */
-    public boolean isAsStated(Expected expected) {
+    public boolean isExpected(Expected expected) {
         return switch (expected) {
             case COMPLETED -> this == COMPLETED;
             case COMPLETED_OR_NOT_RUN -> this == COMPLETED || this == NOT_RUN;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayReport.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayReport.java
@@ -12,32 +12,32 @@
 import org.apricotstack.core.configuration.FleetLimits;
 import org.apricotstack.core.configuration.LengthClass;
 
-/** Sums up the results of a replay. */
+/** Summary of the results of a replay. */
 public final class ReplayReport {
 
     private static final double MAX_MILLIS = 3_600_000;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double HUNDREDTHS = 100;
 
     private final Map<LengthClass, Histogram> firstToken = new EnumMap<>(LengthClass.class);
     private final Map<LengthClass, Histogram> slowdown = new EnumMap<>(LengthClass.class);
     private final Map<ReplayOutcome, Integer> outcomes = new EnumMap<>(ReplayOutcome.class);
     private final Map<String, Integer> codes = new TreeMap<>();
-    private final List<ReplayResult> broken = new ArrayList<>();
+    private final List<ReplayResult> unexpected = new ArrayList<>();
     private int total;
 
     /**
-     * Sums up results.
+     * Summarizes results.
      *
      * @param results the results
-     * @param limits borders of the length classes
-     * @param speed speed of the engines, for the time on an idle one
-     * @param pace how much faster than modelled they ran
+     * @param limits limits of the length classes
+     * @param speed speed of the engines, for the time to first token on an idle engine
+     * @param pace speed of the engines relative to the model
      */
     public ReplayReport(List<ReplayResult> results, FleetLimits limits, EngineSpeed speed, double pace) {
         for (LengthClass lengthClass : LengthClass.values()) {
-            firstToken.put(lengthClass, new Histogram((long) MAX_MILLIS, DIGITS));
-            slowdown.put(lengthClass, new Histogram((long) MAX_MILLIS, DIGITS));
+            firstToken.put(lengthClass, new Histogram((long) MAX_MILLIS, SIGNIFICANT_DIGITS));
+            slowdown.put(lengthClass, new Histogram((long) MAX_MILLIS, SIGNIFICANT_DIGITS));
         }
         for (ReplayResult result : results) {
             add(result, limits, speed, pace);
@@ -51,8 +51,8 @@
         if (!result.code().isEmpty()) {
             codes.merge(result.code(), 1, Integer::sum);
         }
-        if (!result.isAsStated()) {
-            broken.add(result);
+        if (!result.isExpected()) {
+            unexpected.add(result);
         }
         if (result.outcome() == ReplayOutcome.COMPLETED && result.record().inputTokens() > 0) {
             LengthClass lengthClass = limits.lengthClass(result.record().inputTokens());
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Returns a percentile of the slowdown: time to first token by that on an idle engine.
+     * Returns a percentile of the slowdown: the time to first token divided by that on an idle engine.
      *
      * @param lengthClass the class
      * @param percentile 0 to 100
@@ -87,18 +87,18 @@
     }
 
     /**
-     * Returns the results that did not end as stated.
+     * Returns the results with an unexpected outcome.
      *
      * @return the results
      */
-    public List<ReplayResult> broken() {
-        return broken;
+    public List<ReplayResult> unexpected() {
+        return unexpected;
     }
 
     /**
-     * Returns how many requests ended in a way.
+     * Returns the number of requests with an outcome.
      *
-     * @param outcome the way
+     * @param outcome the outcome
      * @return the number
      */
     public int count(ReplayOutcome outcome) {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Writes the report as a Markdown table.
+     * Formats the report as a Markdown table.
      *
      * @return lines of text
      */
@@ -133,8 +133,8 @@
                 .append(outcomes)
                 .append('\n');
         text.append("Refusals and failures by code: ").append(codes).append('\n');
-        text.append("Not as stated: ").append(broken.size()).append('\n');
-        broken.stream().limit(10).forEach(result -> text.append("  ")
+        text.append("Unexpected outcomes: ").append(unexpected.size()).append('\n');
+        unexpected.stream().limit(10).forEach(result -> text.append("  ")
                 .append(result.record().service())
                 .append(' ')
                 .append(result.record().inputTokens())
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayResult.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/ReplayResult.java
@@ -3,24 +3,24 @@
 import org.apricotstack.bench.trace.TraceRecord;
 
 /**
- * What became of one request.
+ * Result of one request.
  *
  * @param record the request
- * @param outcome how it ended
- * @param code the code of its refusal; empty without one
- * @param firstTokenMillis from the moment at which the trace sends it to the first piece of its answer; negative if
- *     none came. A replay that runs late counts its own delay, so that no omission is hidden
- * @param totalMillis from the same moment to its end
+ * @param outcome its outcome
+ * @param code the code of the refusal or failure; empty without one
+ * @param firstTokenMillis time from its send time in the trace to the first token; negative if there was none. The
+ *     delay of a late replay is included, which avoids coordinated omission
+ * @param totalMillis time from its send time in the trace to its end
  */
 public record ReplayResult(
         TraceRecord record, ReplayOutcome outcome, String code, double firstTokenMillis, double totalMillis) {
 
     /**
-     * Tells whether it ended as stated.
+     * Returns whether the outcome is an expected one.
      *
-     * @return whether the promise was kept
+     * @return whether the outcome was expected
      */
-    public boolean isAsStated() {
-        return outcome.isAsStated(record.expected());
+    public boolean isExpected() {
+        return outcome.isExpected(record.expected());
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/replay/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Open-loop replay of traces, and what it measured.
+ * Open-loop replay of traces, and its results.
  */
 package org.apricotstack.bench.replay;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/service/StandInService.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/service/StandInService.java
@@ -18,7 +18,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** A stand-in for one replica of a plain service: it runs each call, counts it by its body, and answers with it. */
+/** A simulated replica of a plain service: it counts each call by its body, and returns the body in the response. */
 public final class StandInService implements AutoCloseable {
 
     private final EngineFaults faults = new EngineFaults();
@@ -26,12 +26,12 @@
     private final Duration delay;
     private final DisposableServer server;
 
-    /** Counts how often each call was run, over all replicas that share it. */
+    /** Counts the executions of each call over all replicas that share the ledger. */
     public static final class Ledger {
         private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
 
         /**
-         * Counts a run.
+         * Counts an execution.
          *
          * @param body the body of the call
          */
@@ -40,7 +40,7 @@
         }
 
         /**
-         * Returns how often a call was run.
+         * Returns the number of executions of a call.
          *
          * @param body the body of the call
          * @return the number
@@ -51,11 +51,11 @@
         }
 
         /**
-         * Returns the largest number of runs of any call.
+         * Returns the maximum number of executions of any call.
          *
          * @return the number
          */
-        public int mostRuns() {
+        public int maxRuns() {
             return runs.values().stream().mapToInt(AtomicInteger::get).max().orElse(0);
         }
     }
@@ -63,9 +63,9 @@
     /**
      * Starts a replica.
      *
-     * @param listen the address; port 0 lets the machine choose
-     * @param ledger counts the runs
-     * @param delay time that a call takes
+     * @param listen the address; port 0 for any free port
+     * @param ledger counts the executions
+     * @param delay duration of a call
      */
     public StandInService(Address listen, Ledger ledger, Duration delay) {
         this.ledger = ledger;
@@ -77,7 +77,7 @@
                 .bindNow();
     }
 
-    /** Takes one call. */
+    /** Handles one call. */
     private Publisher<Void> call(HttpServerRequest request, HttpServerResponse response) {
         if (faults.has(Fault.LEAVING)) {
             return response.status(503).header(EngineProtocol.LEAVING, "true").send();
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Returns the faults, to start and end them.
+     * Returns the faults, through which tests inject and remove them.
      *
      * @return the faults
      */
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/service/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/service/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for plain services, with a ledger of what was run.
+ * Simulated plain services that count the executions of each call.
  */
 package org.apricotstack.bench.service;
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/BadRequestsTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/BadRequestsTest.java
@@ -21,7 +21,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Requests that cannot be served are refused with a reason, counted, and reach no upstream. */
+/** Invalid requests are refused with a reason, counted, and never sent to an upstream. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BadRequestsTest {
 
@@ -76,7 +76,7 @@
                 "{\"model\":\"short-answer\",\"prompt\":\"abcd\",\"max_tokens\":999999}|||invalid_request|400",
                 "LONG|||prompt_too_long|413"
             })
-    void refusesWhatCannotBeServed(String body, String ticket, String limit, String code, int status)
+    void refusesInvalidRequests(String body, String ticket, String limit, String code, int status)
             throws IOException, InterruptedException {
         long runs = runs();
         long before = refusals(code);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void refusesAWrongKeyWithoutRepeatingIt() throws IOException, InterruptedException {
+    void refusesAWrongKeyWithoutEchoingIt() throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + router().callerPort() + "/v1/completions"))
                 .header("Authorization", "Bearer my-secret")
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void keepsCallersOfPlainServicesWithinThem() throws IOException, InterruptedException {
+    void refusesPathTraversalInPlainCalls() throws IOException, InterruptedException {
         HttpResponse<String> response = send(request("/v1/services/lookup/../../v1/state")
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
                 .build());
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void answersWholeDocumentsAndPlainCallsOfAnyMethod() throws IOException, InterruptedException {
+    void answersUnstreamedCompletionsAndPlainCallsOfAnyMethod() throws IOException, InterruptedException {
         HttpResponse<String> whole = send(request("/v1/completions")
                 .POST(HttpRequest.BodyPublishers.ofString(VALID))
                 .build());
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void guardsTheOperatorsPort() throws IOException, InterruptedException {
+    void requiresTheKeyOnTheAdminPort() throws IOException, InterruptedException {
         URI status = URI.create("http://127.0.0.1:" + router().adminPort() + "/v1/status");
         assertThat(send(HttpRequest.newBuilder(status).build()).statusCode()).isEqualTo(401);
         HttpResponse<String> allowed = send(HttpRequest.newBuilder(status)
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/LoopbackFaultsTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/LoopbackFaultsTest.java
@@ -29,14 +29,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** A whole deployment over loopback TCP, with faults of engines, of the platform and of routers. */
+/** Injects faults of engines, of the platform and of routers into a complete deployment over loopback TCP. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class LoopbackFaultsTest {
 
     private static final DeploymentShape SHAPE =
             new DeploymentShape("test", List.of("dc-a", "dc-b"), List.of(2, 2), 1, 2, 4, 0.5);
     private static final EngineSpeed SPEED = new EngineSpeed(400_000, 4_096, 2_000, 5, 60);
-    private static final Duration MOST_WAIT = Duration.ofSeconds(70);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(70);
 
     private LocalDeployment deployment;
 
@@ -69,7 +69,7 @@
                 plainShare,
                 SHAPE.accountNames(),
                 DeploymentDocuments.SERVICES));
-        try (ReplayCaller caller = new ReplayCaller(deployment.entries(), MOST_WAIT)) {
+        try (ReplayCaller caller = new ReplayCaller(deployment.entries(), MAX_WAIT)) {
             return Replay.run(trace, caller, 1, result -> {});
         }
     }
@@ -81,18 +81,14 @@
     }
 
     /**
-     * Symptom: a caller gets an answer that is cut, mixed up or late, or an engine keeps memory for nobody.
-     *
-     * <p>Sequence of events: one engine of each data centre has the fault while requests flow.
-     *
-     * <p>Cause to be excluded: trust in the end of a connection as the end of an answer, and in cancelling as
-     * release.
+     * Guards against truncated, mixed-up or late answers and leaked engine memory while one engine of each data centre
+     * is faulty. The end of a connection must not be taken for the end of an answer, nor a cancellation for a release.
      */
     @ParameterizedTest
     @EnumSource(
             value = Fault.class,
             names = {"CUT", "CROSSED", "SILENT_STREAMS", "LEAKING", "LEAVING"})
-    void answersWholeWhileOneEngineOfEachDataCentreIsFaulty(Fault fault) {
+    void completesAnswersWhileOneEngineOfEachDataCentreIsFaulty(Fault fault) {
         deployment.engines().get("engine-dc-a-1").faults().start(fault);
         deployment.engines().get("engine-dc-b-1").faults().start(fault);
         List<ReplayResult> results = replay(fault.ordinal(), 60, 40, 0);
@@ -102,16 +98,14 @@
     }
 
     /**
-     * Symptom: a call that must not be repeated runs twice.
-     *
-     * <p>Sequence of events: replicas run the call and die before they answer; callers ask again with the same
-     * ticket at other routers.
+     * Guards against running a non-idempotent call twice when a replica runs the call and crashes before it responds,
+     * and the caller retries with the same ticket at other routers.
      */
     @Test
-    void runsAtMostOnceWhatMustNotBeRepeated() {
+    void runsNonIdempotentCallsAtMostOnce() {
         deployment.replicas().get("replica-dc-a-1").faults().start(Fault.DIES_AFTER_RUN);
         List<ReplayResult> results = replay(21, 40, 40, 1);
-        assertThat(deployment.ledger().mostRuns()).isEqualTo(1);
+        assertThat(deployment.ledger().maxRuns()).isEqualTo(1);
         assertThat(results)
                 .allMatch(result ->
                         result.outcome() == ReplayOutcome.COMPLETED || result.outcome() == ReplayOutcome.UNKNOWN);
@@ -125,12 +119,10 @@
     }
 
     /**
-     * Symptom: an upstream that leaves still gets work.
-     *
-     * <p>Sequence of events: the roster lists one engine of each data centre as leaving.
+     * Guards against sending new work to a draining upstream, here an engine that the roster lists as leaving.
      */
     @Test
-    void givesNoNewWorkToAnEngineThatIsListedAsLeaving() {
+    void sendsNoNewWorkToAnEngineListedAsLeaving() {
         deployment
                 .platform()
                 .publish(ReplicationTopic.ROSTER, Map.of("upstreams/engine-dc-a-2", "{\"leaving\":true}"), List.of());
@@ -144,10 +136,9 @@
     }
 
     /**
-     * Symptom: an order of the operators does not reach an engine, or an old one undoes it.
-     *
-     * <p>Sequence of events: a new revision of the model is published; an engine that ignores fencing numbers then
-     * takes an old order, as from a router that woke late.
+     * Guards against orders of the operators that do not reach an engine or are reverted by an outdated one: a new
+     * revision of the model is published, and an engine that ignores fencing numbers then accepts an outdated order, as
+     * from a router that resumes after a long pause.
      */
     @Test
     void bringsAllEnginesToThePublishedRevisionAndBackToIt() {
@@ -168,53 +159,49 @@
     }
 
     /**
-     * Symptom: a host that starts while the platform is down or stale refuses everything, or serves an old
-     * configuration.
-     *
-     * <p>Sequence of events: the platform serves an old version, then fails; a router starts with an empty memory.
+     * Guards against a router that starts without cached state while the platform is down or stale, and then refuses
+     * all requests or serves an outdated configuration.
      */
     @ParameterizedTest
     @EnumSource(PlatformFault.class)
     void startsFromPeersWhileThePlatformFails(PlatformFault fault) {
-        fault.start(deployment);
+        fault.prepare(deployment);
         long version =
                 deployment.publishAndAwait("presets/extra-" + fault.name().toLowerCase(Locale.ROOT));
-        fault.strike(deployment);
+        fault.inject(deployment);
         Router fresh = deployment.startRouter("router-fresh-" + fault.ordinal(), "dc-a");
         LocalDeployment.await("the fresh router serves", fresh::isServing);
         assertThat(fresh.configurationVersion()).isEqualTo(version);
         deployment.platform().setDown(false);
-        deployment.platform().unfreeze();
+        deployment.platform().serveCurrent();
         deployment.killRouter("router-fresh-" + fault.ordinal());
     }
 
-    /** How the platform fails. */
+    /** Kind of platform failure. */
     enum PlatformFault {
-        /** Each call fails. */
+        /** Every call fails. */
         DOWN,
-        /** An old version is served. */
+        /** An outdated version is served. */
         STALE;
 
-        private void start(LocalDeployment deployment) {
+        private void prepare(LocalDeployment deployment) {
             if (this == STALE) {
-                deployment.platform().remember();
+                deployment.platform().takeSnapshot();
             }
         }
 
-        private void strike(LocalDeployment deployment) {
+        private void inject(LocalDeployment deployment) {
             if (this == DOWN) {
                 deployment.platform().setDown(true);
             } else {
-                deployment.platform().freezeAsRemembered();
+                deployment.platform().serveSnapshot();
             }
         }
     }
 
     /**
-     * Symptom: requests are cut, refused or lost while hosts are replaced.
-     *
-     * <p>Sequence of events: every router is replaced by a new one while requests flow; callers keep entry answers
-     * that name hosts which have left since.
+     * Guards against truncated, refused or lost requests during a rolling replacement of all routers under load, in
+     * which callers have cached entry lists that name stopped hosts.
      */
     @Test
     void replacesEveryRouterUnderLoadWithoutCuttingARequest() {
@@ -231,28 +218,27 @@
                 .cache();
         replacement.subscribe();
         List<ReplayResult> results = replay(23, 300, 20, 0.1);
-        replacement.block(MOST_WAIT);
+        replacement.block(MAX_WAIT);
         assertThat(notCompleted(results)).isEmpty();
         assertThat(deployment.routers().keySet()).doesNotContainAnyElementsOf(old);
-        assertThat(deployment.ledger().mostRuns()).isLessThanOrEqualTo(1);
+        assertThat(deployment.ledger().maxRuns()).isLessThanOrEqualTo(1);
     }
 
     /**
-     * Symptom: after the death of a router, requests that it only owned fail, hang, or leave engine memory behind.
-     *
-     * <p>Sequence of events: a router is killed under load and stays on the roster; requests that it had admitted
-     * lose their connection, all others are repeated at the next owner.
+     * Guards against requests that fail, hang or leak engine memory after the router that owned them, but had not
+     * accepted them from the caller, was killed under load. The router stays on the roster; requests that it had
+     * accepted lose their connection, and all others are retried at the next owner.
      */
     @Test
-    void endsAllRequestsOfOtherEntriesWhenARouterDies() {
+    void completesRequestsOfOtherEntriesWhenARouterCrashes() {
         String victim = deployment.routers().keySet().iterator().next();
-        Mono.delay(Duration.ofSeconds(1)).subscribe(over -> deployment.killRouter(victim));
+        Mono.delay(Duration.ofSeconds(1)).subscribe(tick -> deployment.killRouter(victim));
         List<ReplayResult> results = replay(24, 120, 40, 0.1);
         assertThat(results)
                 .allMatch(result -> result.outcome() == ReplayOutcome.COMPLETED
                         || result.code().equals("connection_lost")
                         || result.code().equals("ticket_home_lost"));
-        assertThat(deployment.ledger().mostRuns()).isLessThanOrEqualTo(1);
+        assertThat(deployment.ledger().maxRuns()).isLessThanOrEqualTo(1);
         LocalDeployment.await("no engine holds memory", () -> deployment.heldTokens() == 0);
     }
 }
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/SilentConnectionTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/SilentConnectionTest.java
@@ -20,55 +20,52 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: requests hang until their time limit although every process is well.
- *
- * <p>Sequence of events: something between two routers loses track of their open connections; nothing arrives any
- * more and nothing is closed; new connections work.
- *
- * <p>Cause to be excluded: waiting for the transport to report what it cannot see.
+ * Guards against requests that hang until their time limit although all processes are healthy. A middlebox between two
+ * routers loses the state of their open connections: packets are dropped and nothing is closed, but new connections
+ * work. The transport does not detect this, so the routers must not rely on it.
  */
 class SilentConnectionTest {
 
-    /** All engines stand in the far data centre, so that each prompt has to go over the connection that is silenced. */
+    /** All engines are in the remote data centre, so that every prompt crosses the silenced connection. */
     private static final DeploymentShape SHAPE =
             new DeploymentShape("test", List.of("dc-a", "dc-b"), List.of(0, 4), 1, 1, 4, 0.5);
 
     private static final EngineSpeed SPEED = new EngineSpeed(400_000, 4_096, 2_000, 5, 60);
 
     /**
-     * Quick times but for probes, of which none comes while the test lasts. A probe finds the silence too, within
-     * 0.4 s: then the near router takes the far one's group over and no prompt crosses the connection any more.
+     * Short timeouts, but no probes during the test. A probe would detect the silent connection within 0.4 s; the local
+     * router would then take over the group of the remote one, and no prompt would cross the connection.
      */
     private static final RouterSettings.Timings NO_PROBES =
             new RouterSettings.Timings(600_000, 200, 600, 500, 5_000, 1_000);
 
     /**
-     * Time between heartbeats of an attempt. After three of them without a word its connection counts as silent; a busy
-     * machine must not make a sound one look so before the connection is silenced.
+     * Time between heartbeats of an attempt. A connection counts as silent after three missed heartbeats; the interval
+     * is long enough that a healthy connection is not classified as silent on a busy machine.
      */
     private static final long HEARTBEAT_MILLIS = 1_000;
 
     @Test
-    void repeatsOverANewConnectionWhenTheOpenOneGoesSilent() {
+    void retriesOverANewConnectionWhenTheOpenOneGoesSilent() {
         try (LocalDeployment deployment = new LocalDeployment(SHAPE, SPEED, 1, NO_PROBES)) {
             publishHeartbeats(deployment);
-            Router far = deployment.routers().get("router-dc-b-1");
-            try (TcpRelay relay = new TcpRelay(new Address("127.0.0.1", far.peerPort()))) {
+            Router remote = deployment.routers().get("router-dc-b-1");
+            try (TcpRelay relay = new TcpRelay(new Address("127.0.0.1", remote.peerPort()))) {
                 deployment.publishRoster(Map.of("router-dc-b-1", relay.address()));
                 long version = deployment.platform().version(ReplicationTopic.ROSTER);
                 LocalDeployment.await("the roster is in force", () -> deployment.routers().values().stream()
                         .allMatch(router -> router.rosterVersion() >= version));
-                Router near = deployment.routers().get("router-dc-a-1");
-                List<Address> entry = List.of(new Address("127.0.0.1", near.callerPort()));
+                Router local = deployment.routers().get("router-dc-a-1");
+                List<Address> entry = List.of(new Address("127.0.0.1", local.callerPort()));
                 assertThat(replay(entry, 1)).allMatch(result -> result.outcome() == ReplayOutcome.COMPLETED);
                 assertThat(relay.silenceOpenConnections()).isPositive();
                 assertThat(replay(entry, 2)).allMatch(result -> result.outcome() == ReplayOutcome.COMPLETED);
-                assertThat(near.metrics()
+                assertThat(local.metrics()
                                 .registry()
                                 .counter("entry.retries.owner_lost")
                                 .getCount())
                         .isPositive();
-                assertThat(relay.soundConnections()).isPositive();
+                assertThat(relay.activeConnections()).isPositive();
             }
             LocalDeployment.await("no engine holds memory", () -> deployment.heldTokens() == 0);
         }
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/TcpRelay.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/TcpRelay.java
@@ -17,7 +17,7 @@
 import reactor.netty.tcp.TcpClient;
 import reactor.netty.tcp.TcpServer;
 
-/** Relays TCP connections; on command the open ones go silent for good, without being closed, while new ones work. */
+/** TCP relay that can silence its open connections permanently without closing them; new connections work. */
 final class TcpRelay implements AutoCloseable {
 
     private final Address target;
@@ -38,19 +38,20 @@
                 .host(target.ip())
                 .port(target.port())
                 .connect()
-                .flatMap(there -> {
-                    Mono<Void> forth = there.outbound()
+                .flatMap(upstream -> {
+                    Mono<Void> toTarget = upstream.outbound()
                             .send(unlessSilent(in.receive(), silent), buffer -> true)
                             .then();
-                    Mono<Void> back = out.send(unlessSilent(there.inbound().receive(), silent), buffer -> true)
+                    Mono<Void> toClient = out.send(
+                                    unlessSilent(upstream.inbound().receive(), silent), buffer -> true)
                             .then();
-                    return Mono.firstWithSignal(forth, back).doFinally(end -> close(there, silent));
+                    return Mono.firstWithSignal(toTarget, toClient).doFinally(end -> close(upstream, silent));
                 });
     }
 
     /**
-     * Drops what comes over a silent connection. A filter would free dropped buffers a second time, as the library does
-     * with all that a flow to a connection discards, and that error closes the connection.
+     * Drops the data of silent connections. With a filter, dropped buffers would be released twice, because the library
+     * also releases buffers that are discarded on the way to a connection, and the error would close the connection.
      */
     private Flux<ByteBuf> unlessSilent(ByteBufFlux buffers, AtomicBoolean silent) {
         return buffers.handle((buffer, sink) -> {
@@ -62,23 +63,23 @@
         });
     }
 
-    private void close(Connection there, AtomicBoolean silent) {
+    private void close(Connection upstream, AtomicBoolean silent) {
         open.remove(silent);
-        there.dispose();
+        upstream.dispose();
     }
 
-    /** Silences all connections that are open now; returns how many there are. */
+    /** Silences all open connections; returns their number. */
     int silenceOpenConnections() {
         open.forEach(silent -> silent.set(true));
         return open.size();
     }
 
-    /** Returns how many connections are open that are not silent. */
-    long soundConnections() {
+    /** Returns the number of open connections that are not silent. */
+    long activeConnections() {
         return open.stream().filter(silent -> !silent.get()).count();
     }
 
-    /** Returns how many bytes silent connections have swallowed. */
+    /** Returns the number of bytes dropped on silent connections. */
     long droppedBytes() {
         return droppedBytes.get();
     }
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/TcpRelayTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/TcpRelayTest.java
@@ -13,16 +13,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Symptom: a test of silent connections passes or fails by chance, and passes without what it is to prove.
- *
- * <p>Sequence of events: a connection is to go silent; the first bytes over it are dropped; the relay closes it.
- *
- * <p>Cause: a dropped buffer was freed twice, and that error ended the connection. A router then saw a closed one
- * instead of a silent one, and before the first request if anything else was sent over it first.
+ * Guards against a relay that closes a silenced connection when it drops the first bytes, which made tests of silent
+ * connections flaky and able to pass without the behaviour under test. A dropped buffer was released twice, and the
+ * error closed the connection. The router then saw a closed connection instead of a silent one, even before the first
+ * request if other data was sent first.
  */
 class TcpRelayTest {
 
-    private static final String WORD = "ping";
+    private static final String MESSAGE = "ping";
 
     @Test
     void keepsSilentConnectionsOpenAndServesNewOnes() {
@@ -33,16 +31,16 @@
                 .bindNow();
         try (TcpRelay relay = new TcpRelay(new Address("127.0.0.1", echo.port()))) {
             Connection silenced = connect(relay);
-            assertThat(ask(silenced)).isEqualTo(WORD);
+            assertThat(sendAndReceive(silenced)).isEqualTo(MESSAGE);
             assertThat(relay.silenceOpenConnections()).isEqualTo(1);
 
-            say(silenced);
-            LocalDeployment.await("the first word is dropped", () -> relay.droppedBytes() == WORD.length());
-            say(silenced);
-            LocalDeployment.await("the second word is dropped", () -> relay.droppedBytes() == 2 * WORD.length());
+            send(silenced);
+            LocalDeployment.await("the first message is dropped", () -> relay.droppedBytes() == MESSAGE.length());
+            send(silenced);
+            LocalDeployment.await("the second message is dropped", () -> relay.droppedBytes() == 2 * MESSAGE.length());
 
             Connection fresh = connect(relay);
-            assertThat(ask(fresh)).isEqualTo(WORD);
+            assertThat(sendAndReceive(fresh)).isEqualTo(MESSAGE);
             assertThat(silenced.isDisposed()).isFalse();
             silenced.disposeNow();
             fresh.disposeNow();
@@ -55,12 +53,12 @@
         return TcpClient.create().host("127.0.0.1").port(relay.address().port()).connectNow();
     }
 
-    private static void say(Connection connection) {
-        connection.outbound().sendString(Mono.just(WORD)).then().block();
+    private static void send(Connection connection) {
+        connection.outbound().sendString(Mono.just(MESSAGE)).then().block();
     }
 
-    private static String ask(Connection connection) {
-        say(connection);
+    private static String sendAndReceive(Connection connection) {
+        send(connection);
         return connection
                 .inbound()
                 .receive()
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/engine/EngineModelTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/engine/EngineModelTest.java
@@ -31,13 +31,13 @@
     }
 
     @Test
-    void takesTheIdleTimeForAPromptAlone() {
+    void takesTheIdleTimeForASinglePrompt() {
         engine.add(stream("a", 5_000, 0, List.of()));
         assertThat(firstTokenMillis("a")).isCloseTo(SPEED.idleFirstTokenMillis(5_000), within(0.01));
     }
 
     @Test
-    void letsAnUrgentPromptPassBetweenTheChunksOfALongOne() {
+    void prefillsAnUrgentPromptBetweenTheChunksOfALongOne() {
         engine.add(stream("long", 15_000, 2, List.of()));
         engine.step();
         engine.add(stream("short", 500, 0, List.of()));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void skipsWhatIsCachedAndEvictsWhenMemoryIsHeld() {
+    void skipsCachedBlocksAndEvictsThemWhenMemoryIsHeld() {
         List<Long> blocks = new ArrayList<>();
         for (long i = 0; i < 8; i++) {
             blocks.add(i);
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/ReplayCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/ReplayCommand.java
@@ -15,20 +15,21 @@
 import org.apricotstack.core.configuration.FleetLimits;
 import org.apricotstack.core.id.Address;
 
-/** Replays a trace against routers that run. */
-@Parameters(commandDescription = "Replays a trace against running routers; exits 1 unless all ended as stated.")
+/** Replays a trace against running routers. */
+@Parameters(
+        commandDescription = "Replays a trace against running routers; exits 1 unless all requests ended as expected.")
 final class ReplayCommand extends Command {
 
-    @Parameter(names = "--trace", required = true, description = "File with the trace, one JSON object a line.")
+    @Parameter(names = "--trace", required = true, description = "File with the trace, one JSON object per line.")
     private String trace;
 
     @Parameter(names = "--entries", required = true, description = "Addresses of entry hosts, A,B,…")
     private List<String> entries;
 
-    @Parameter(names = "--speed", description = "How much faster than the trace to send.")
+    @Parameter(names = "--speed", description = "Replay speed relative to the timestamps of the trace.")
     private double speed = 1;
 
-    @Parameter(names = "--wait-seconds", description = "Time after which a request without an end counts as late.")
+    @Parameter(names = "--wait-seconds", description = "Time after which an unfinished request counts as late.")
     private long waitSeconds = 130;
 
     @Override
@@ -38,7 +39,7 @@
             List<ReplayResult> results = Replay.run(TraceFiles.read(Path.of(trace)), caller, speed, result -> {});
             ReplayReport report = new ReplayReport(results, FleetLimits.DEFAULT, EngineSpeed.USUAL, 1);
             System.out.println(report.table());
-            return report.broken().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
+            return report.unexpected().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
         }
     }
 }
