--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/PromptText.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/PromptText.java
@@ -4,10 +4,10 @@
 
 import com.google.common.hash.Hashing;
 
-/** Makes the text of a prompt from the blocks of a trace; equal blocks give equal text. */
+/** Generates the text of a prompt from the blocks of a trace; equal blocks yield equal text. */
 public final class PromptText {
 
-    /** Bytes of text for a token; the text is plain ASCII. */
+    /** Bytes of text per token; the text is ASCII. */
     public static final int BYTES_PER_TOKEN = 4;
 
     private static final int BLOCK_BYTES = TraceRecord.BLOCK_TOKENS * BYTES_PER_TOKEN;
@@ -15,10 +15,10 @@
     private PromptText() {}
 
     /**
-     * Makes a prompt.
+     * Generates a prompt.
      *
-     * @param hashIds its blocks
-     * @param tokens its length
+     * @param hashIds hash ids of its blocks
+     * @param tokens its length in tokens
      * @return its text
      */
     public static String of(List<Long> hashIds, long tokens) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceFiles.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceFiles.java
@@ -19,19 +19,19 @@
 import org.apricotstack.core.failure.ErrorCode;
 
 /**
- * Reads and writes traces: one JSON object a line, with the field names of the published Mooncake traces ({@code
+ * Reads and writes traces: one JSON object per line, with the field names of the published Mooncake traces ({@code
  * timestamp}, {@code input_length}, {@code output_length}, {@code hash_ids}) and optional fields of this project.
  */
 public final class TraceFiles {
 
-    private static final long MOST_TOKENS = 1L << 24;
+    private static final long MAX_TOKENS = 1L << 24;
     private static final long MAX_MILLIS = 86_400_000L;
-    private static final int MOST_PROBLEMS = 20;
+    private static final int MAX_PROBLEMS = 20;
 
     private TraceFiles() {}
 
     /**
-     * Reads a file.
+     * Reads a trace file.
      *
      * @param file the file
      * @return its requests
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Reads lines.
+     * Parses the lines of a trace.
      *
-     * @param source their name, for problems
-     * @param lines the lines; empty ones are passed over
+     * @param source name of the source, for error messages
+     * @param lines the lines; blank lines are skipped
      * @return the requests
      * @throws ApricotException with {@link ErrorCode#INVALID_TRACE} and the first problems
      */
@@ -64,22 +64,22 @@
         }
         if (!problems.isEmpty()) {
             StringBuilder message = new StringBuilder("The trace cannot be used; correct each line:");
-            problems.stream().limit(MOST_PROBLEMS).forEach(problem -> message.append('\n')
+            problems.stream().limit(MAX_PROBLEMS).forEach(problem -> message.append('\n')
                     .append(problem));
             throw new ApricotException(ErrorCode.INVALID_TRACE, message.toString());
         }
         return records;
     }
 
-    /** Reads one line. */
+    /** Parses one line. */
     private static TraceRecord readLine(String source, String line, List<Problem> problems) {
         try {
             JsonNode tree = Json.STRICT.readTree(line);
             JsonFields fields = new JsonFields(source, "", tree, problems::add);
             TraceRecord record = new TraceRecord(
                     fields.number("timestamp", null, 0, MAX_MILLIS),
-                    fields.number("input_length", null, 0, MOST_TOKENS),
-                    fields.number("output_length", null, 0, MOST_TOKENS),
+                    fields.number("input_length", null, 0, MAX_TOKENS),
+                    fields.number("output_length", null, 0, MAX_TOKENS),
                     fields.numbers("hash_ids"),
                     fields.text("account", "default"),
                     fields.text("service", "default"),
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Writes a file.
+     * Writes a trace file.
      *
      * @param file the file
      * @param records the requests
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Writes one request.
+     * Serializes one request.
      *
      * @param record the request
      * @return one line
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceGenerator.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceGenerator.java
@@ -8,20 +8,20 @@
 import org.apricotstack.bench.trace.TraceRecord.Expected;
 
 /**
- * Generates traces: Poisson arrivals, prompt lengths of three classes each even on a logarithmic scale, shared
+ * Generates traces: Poisson arrivals, prompt lengths in three classes, each log-uniform, shared
  * prefixes, and client accounts of unequal size.
  */
 public final class TraceGenerator {
 
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final long SHORT_FROM = 1_000;
-    private static final long SHORT_TO = 4_000;
-    private static final long LONG_FROM = 100_001;
+    private static final long MIN_MAX_SHORT_TOKENSKENS = 1_000;
+    private static final long MAX_SHORT_TOKENS = 4_000;
+    private static final long MIN_LONG_TOKENS = 100_001;
     private static final double SHORT_SHARE = 0.8;
     private static final int SHARED_PREFIXES = 20;
     private static final int SHARED_BLOCKS = 4;
-    private static final long ANSWER_FROM = 8;
-    private static final long ANSWER_TO = 64;
+    private static final long MIN_MAX_ANSWER_TOKENSKENS = 8;
+    private static final long MAX_ANSWER_TOKENS = 64;
 
     private final TraceOptions options;
     private final UniformRandomProvider random;
@@ -36,8 +36,8 @@
     /**
      * Generates a trace.
      *
-     * @param options what it is to be like
-     * @return its requests in the order of time
+     * @param options the parameters of the trace
+     * @return its requests in order of arrival
      */
     public static List<TraceRecord> generate(TraceOptions options) {
         TraceGenerator generator = new TraceGenerator(options);
@@ -70,25 +70,25 @@
         long tokens;
         String service;
         if (which < options.longShare()) {
-            tokens = even(LONG_FROM, options.mostTokens());
+            tokens = logUniform(MIN_LONG_TOKENS, options.maxTokens());
             service = options.services().longService();
         } else if (which < options.longShare() + SHORT_SHARE) {
-            tokens = even(SHORT_FROM, SHORT_TO);
+            tokens = logUniform(MIN_MAX_SHORT_TOKENSKENS, MAX_SHORT_TOKENS);
             service = options.services().shortService();
         } else {
-            tokens = even(SHORT_TO + 1, LONG_FROM - 1);
+            tokens = logUniform(MAX_SHORT_TOKENS + 1, MIN_LONG_TOKENS - 1);
             service = options.services().mediumService();
         }
-        long answer = even(ANSWER_FROM, ANSWER_TO);
+        long answer = logUniform(MIN_MAX_ANSWER_TOKENSKENS, MAX_ANSWER_TOKENS);
         return new TraceRecord(millis, tokens, answer, hashIds(tokens), account, service, true, 0, Expected.COMPLETED);
     }
 
-    /** Draws a number that is even on a logarithmic scale. */
-    private long even(long from, long to) {
+    /** Draws a log-uniform number. */
+    private long logUniform(long from, long to) {
         return Math.round(from * Math.pow((double) to / from, random.nextDouble()));
     }
 
-    /** Draws an account; each has about half the traffic of the one before. */
+    /** Draws a client account; each has about half the traffic of the previous one. */
     private String account() {
         int index = 0;
         while (index < options.accounts().size() - 1 && random.nextBoolean()) {
@@ -97,7 +97,7 @@
         return options.accounts().get(index);
     }
 
-    /** Makes the blocks of a prompt, some with a shared prefix. */
+    /** Generates the block hashes of a prompt, some with a shared prefix. */
     private List<Long> hashIds(long tokens) {
         int blocks = (int) ((tokens + TraceRecord.BLOCK_TOKENS - 1) / TraceRecord.BLOCK_TOKENS);
         List<Long> ids = new ArrayList<>(blocks);
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceOptions.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceOptions.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * What a generated trace is to be like.
+ * Parameters of a generated trace.
  *
- * @param seed the seed; equal options give equal traces
+ * @param seed seed of the random numbers; equal options yield equal traces
  * @param requests number of requests
- * @param perSecond mean rate of requests
+ * @param perSecond mean request rate per second
  * @param longShare share of prompts over 100,000 tokens
- * @param mostTokens length of the longest prompts
- * @param sharedShare share of prompts that begin with a prefix that others have too
- * @param plainShare share of calls to a plain service that must not be repeated
+ * @param maxTokens length of the longest prompts
+ * @param sharedShare share of prompts with a prefix shared with other prompts
+ * @param plainShare share of non-idempotent calls to a plain service
  * @param accounts client accounts, the first with the most traffic
- * @param services names of the services to ask for
+ * @param services names of the services that are called
  */
 public record TraceOptions(
         long seed,
         int requests,
         double perSecond,
         double longShare,
-        long mostTokens,
+        long maxTokens,
         double sharedShare,
         double plainShare,
         List<String> accounts,
@@ -32,7 +32,7 @@
      * @param shortService for short prompts
      * @param mediumService for medium prompts
      * @param longService for long prompts
-     * @param plainService for calls that must not be repeated
+     * @param plainService for non-idempotent calls
      */
     public record Services(String shortService, String mediumService, String longService, String plainService) {}
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Traces of requests: reading, writing and generating.
+ * Request traces: reading, writing and generation.
  */
 package org.apricotstack.bench.trace;
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/trace/TraceFilesTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/trace/TraceFilesTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void readsTheFieldsOfPublishedTracesAlone() {
+    void readsPublishedTracesWithoutOptionalFields() {
         String line = "{\"timestamp\":27482,\"input_length\":6955,\"output_length\":52,\"hash_ids\":[46,47]}";
         TraceRecord record = TraceFiles.read("t", List.of(line, "")).get(0);
         assertThat(record.inputTokens()).isEqualTo(6_955);
@@ -55,16 +55,16 @@
                 "{\"timestamp\":1,\"input_lenght\":1,\"output_length\":1,\"hash_ids\":[]}|\"input_length\"",
                 "{\"timestamp\":1,\"input_length\":1,\"output_length\":1,\"hash_ids\":[\"a\"]}|hash_ids[0]: found a"
             })
-    void namesTheLineAndWhatIsWrong(String line, String problem) {
+    void reportsTheLineAndTheProblem(String line, String problem) {
         assertThatExceptionOfType(ApricotException.class)
                 .isThrownBy(() -> TraceFiles.read("t", List.of(line)))
                 .withMessageContaining(problem)
                 .satisfies(e -> assertThat(e.code()).isEqualTo(ErrorCode.INVALID_TRACE));
     }
 
-    /** Whatever the line, it is read or refused with the typed error. */
+    /** Any line is either parsed or refused with an ApricotException. */
     @Property(tries = 300, seed = "7")
-    void failsOnlyWithTheTypedError(@ForAll String noise) {
+    void failsOnlyWithAnApricotException(@ForAll String noise) {
         try {
             TraceFiles.read("t", List.of(noise));
         } catch (ApricotException e) {
