--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/Policy.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/Policy.java
@@ -9,15 +9,15 @@
 import org.apricotstack.core.dispatch.SchedulerOptions;
 import org.apricotstack.core.dispatch.UpstreamChooser;
 
-/** Policies that can be compared. */
+/** Policies of a queue experiment. */
 public enum Policy {
-    /** First come, first served, to the engine with the fewest streams; engines are told no priorities. */
+    /** First come, first served, to the engine with the fewest streams; requests to engines carry no priorities. */
     FIRST_COME(new ArrivalQueueOrder(), new LeastInFlightUpstreamChooser(), 0, false),
-    /** First come, first served, but engines put short prompts first. */
+    /** First come, first served, but engines prefer short prompts. */
     FIRST_COME_PRIORITIES(new ArrivalQueueOrder(), new LeastInFlightUpstreamChooser(), 0, true),
-    /** The registry's: the slowdown of short prompts weighs more. */
+    /** Policy of the registry: gives more weight to the slowdown of short prompts. */
     REGISTRY(new ResponseRatioQueueOrder(0.9), new LeastFirstTokenUpstreamChooser(), 0.2, true),
-    /** The cooperative's: time to first token over all lengths weighs more. */
+    /** Policy of the cooperative: gives more weight to the time to first token over all lengths. */
     COOPERATIVE(new ResponseRatioQueueOrder(0.3), new LeastFirstTokenUpstreamChooser(), 0.2, true);
 
     private final QueueOrder order;
@@ -38,7 +38,7 @@
         return new SchedulerOptions(limits, order, shortShare, chooser);
     }
 
-    /** Tells whether engines are told priorities. */
+    /** Returns whether requests to engines carry priorities. */
     boolean hasPriorities() {
         return priorities;
     }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/PolicyExperiment.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/PolicyExperiment.java
@@ -14,7 +14,7 @@
 import org.apricotstack.core.configuration.FleetLimits;
 import org.apricotstack.core.configuration.LengthClass;
 
-/** Compares policies on the same trace at a stated share of the measured capacity. */
+/** Compares policies on the same trace at a given share of the measured capacity. */
 public final class PolicyExperiment {
 
     private static final int ENGINES = 14;
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Runs each policy on the whole trace, and on its short prompts alone.
+     * Runs each policy on the complete trace, and on its short prompts only.
      *
      * @param policies the policies
      * @return a table in Markdown
@@ -57,14 +57,14 @@
                 0,
                 List.of("a", "b", "c"),
                 DeploymentDocuments.SERVICES));
-        List<TraceRecord> shortOnes = all.stream()
+        List<TraceRecord> shortPrompts = all.stream()
                 .filter(record -> lengthClass(record.inputTokens()) == LengthClass.SHORT)
                 .toList();
         double capacity = capacity(all);
         double speedUp = load * capacity / TRACE_RATE;
         StringBuilder table = new StringBuilder(String.format(
                 Locale.ROOT,
-                "Seed %d, %d engines, %.0f%% of the measured capacity of %.1f requests a second, time limit %d s.%n%n",
+                "Seed %d, %d engines, %.0f%% of the measured capacity of %.1f requests/s, time limit %d s.%n%n",
                 seed,
                 ENGINES,
                 100 * load,
@@ -75,9 +75,9 @@
         table.append("| ratio | medium p95 ms | long p95 ms | all p95 ms | short slowdown p99 |\n");
         table.append("| --- ").append("| ---: ".repeat(12)).append("|\n");
         for (Policy policy : policies) {
-            Summary whole = new Summary(group(policy).run(all, speedUp, timeLimitMillis));
-            Summary alone = new Summary(group(policy).run(shortOnes, speedUp, timeLimitMillis));
-            table.append(row(policy, whole, alone));
+            Summary full = new Summary(group(policy).run(all, speedUp, timeLimitMillis));
+            Summary shortOnly = new Summary(group(policy).run(shortPrompts, speedUp, timeLimitMillis));
+            table.append(row(policy, full, shortOnly));
         }
         return table.toString();
     }
@@ -87,7 +87,7 @@
         return new VirtualGroup(policy, FleetLimits.DEFAULT, EngineSpeed.USUAL, ENGINES);
     }
 
-    /** Measures the capacity: requests a second when all are there from the start and none is refused. */
+    /** Measures the capacity, in requests per second, with all requests queued at the start and none refused. */
     private static double capacity(List<TraceRecord> all) {
         FleetLimits unbounded = new FleetLimits(
                 FleetLimits.DEFAULT.shortTokens(),
@@ -114,36 +114,36 @@
         return FleetLimits.DEFAULT.lengthClass(tokens);
     }
 
-    /** Writes one row. */
-    private String row(Policy policy, Summary whole, Summary alone) {
-        double p99 = whole.firstToken(LengthClass.SHORT, 99);
-        double p99Alone = alone.firstToken(LengthClass.SHORT, 99);
+    /** Formats one row. */
+    private String row(Policy policy, Summary full, Summary shortOnly) {
+        double p99 = full.firstToken(LengthClass.SHORT, 99);
+        double p99ShortOnly = shortOnly.firstToken(LengthClass.SHORT, 99);
         return String.format(
                 Locale.ROOT,
                 "| %s | %d | %d | %d | %d | %.0f | %.0f | %.0f | %.2f | %.0f | %.0f | %.0f | %.1f |%n",
                 policy.name().toLowerCase(Locale.ROOT),
-                whole.count(VirtualResult.End.COMPLETED),
-                whole.count(VirtualResult.End.REFUSED),
-                whole.count(VirtualResult.End.EXPIRED),
-                whole.late(timeLimitMillis),
-                whole.firstToken(LengthClass.SHORT, 50),
+                full.count(VirtualResult.End.COMPLETED),
+                full.count(VirtualResult.End.REFUSED),
+                full.count(VirtualResult.End.EXPIRED),
+                full.late(timeLimitMillis),
+                full.firstToken(LengthClass.SHORT, 50),
                 p99,
-                p99Alone,
-                p99 / p99Alone,
-                whole.firstToken(LengthClass.MEDIUM, 95),
-                whole.firstToken(LengthClass.LONG, 95),
-                whole.firstTokenOfAll(95),
-                whole.shortSlowdown(99));
+                p99ShortOnly,
+                p99 / p99ShortOnly,
+                full.firstToken(LengthClass.MEDIUM, 95),
+                full.firstToken(LengthClass.LONG, 95),
+                full.firstTokenOfAll(95),
+                full.shortSlowdown(99));
     }
 
-    /** Sums up results. */
+    /** Summarizes results. */
     private static final class Summary {
         private final List<VirtualResult> results;
         private final Map<LengthClass, Histogram> firstToken = new EnumMap<>(LengthClass.class);
         private final Histogram all = new Histogram(MAX_MILLIS * (long) HUNDREDTHS, 3);
         private final Histogram slowdown = new Histogram(MAX_MILLIS * (long) HUNDREDTHS, 3);
 
-        /** Sums up results. */
+        /** Summarizes results. */
         private Summary(List<VirtualResult> results) {
             this.results = results;
             for (VirtualResult result : results) {
@@ -178,12 +178,12 @@
             return slowdown.getValueAtPercentile(percentile) / HUNDREDTHS;
         }
 
-        /** Counts ends of a kind. */
+        /** Counts the results with an outcome. */
         private long count(VirtualResult.End end) {
             return results.stream().filter(result -> result.end() == end).count();
         }
 
-        /** Counts whole answers after the time limit; a real owner ends them at the limit. */
+        /** Counts complete answers after the time limit; a real owner aborts them at the limit. */
         private long late(long limitMillis) {
             return results.stream()
                     .filter(result -> result.end() == VirtualResult.End.COMPLETED)
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualGroup.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualGroup.java
@@ -30,14 +30,14 @@
 import org.apricotstack.core.time.MonotonicClock;
 
 /**
- * One group in virtual time: the real scheduler, modelled engines, and a clock that jumps from event to event.
- * Nothing of the network, of hosts or of other groups is modelled.
+ * Discrete-event simulation of one group: the real scheduler, modelled engines, and a virtual clock. The network, hosts
+ * and other groups are not modelled.
  */
 final class VirtualGroup {
 
     private static final GroupId GROUP = new GroupId("group");
     private static final long TICK_NANOS = 25_000_000;
-    private static final int MOST_STREAMS = 64;
+    private static final int MAX_STREAMS = 64;
     private static final double NANOS_PER_MICRO = 1_000;
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -64,13 +64,13 @@
         for (int i = 0; i < engineCount; i++) {
             UpstreamId id = new UpstreamId("engine-" + i);
             upstreams.add(new Upstream(
-                    id, GROUP, new Address("127.0.0.1", 1), speed.memoryTokens(), MOST_STREAMS, true, true, ""));
+                    id, GROUP, new Address("127.0.0.1", 1), speed.memoryTokens(), MAX_STREAMS, true, true, ""));
             engines.put(id, new EngineModel(speed));
         }
         scheduler.update(options, upstreams, Set.of());
     }
 
-    /** Runs a trace, sped up by a factor, and returns what became of each request. */
+    /** Runs a trace, accelerated by a factor, and returns the result of each request. */
     List<VirtualResult> run(List<TraceRecord> trace, double speedUp, long timeLimitMillis) {
         for (TraceRecord record : trace) {
             long at = (long) (record.timestampMillis() * NANOS_PER_MILLI / speedUp);
@@ -115,20 +115,20 @@
                 new QueuedAttempt(command, FleetLimits.DEFAULT.lengthClass(record.inputTokens()), 0, clock.nanos());
         jobs.put(attempt, new Job(record, nowNanos));
         if (scheduler.offer(item) != null) {
-            end(attempt, VirtualResult.End.REFUSED);
+            finish(attempt, VirtualResult.End.REFUSED);
             return;
         }
-        pump();
+        dispatchReady();
     }
 
-    /** Starts what can start. */
-    private void pump() {
+    /** Dispatches all requests that the scheduler releases. */
+    private void dispatchReady() {
         for (Assignment assignment : scheduler.startReady()) {
             start(assignment);
         }
     }
 
-    /** Gives an attempt to its engines; several engines compute equal parts of the prompt at the same time. */
+    /** Adds an attempt to its engines; several engines prefill equal parts of the prompt in parallel. */
     private void start(Assignment assignment) {
         AttemptId attempt = assignment.item().command().attempt();
         Job job = jobs.get(attempt);
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Lets an engine compute its next step, if it has work and none is under way. */
+    /** Starts the next step of an engine, if it has work and no step is running. */
     private void step(UpstreamId id) {
         EngineModel engine = engines.get(id);
         if (stepping.getOrDefault(id, false) || !engine.hasWork()) {
@@ -158,11 +158,11 @@
         }
         EngineModel.Step step = engine.step();
         stepping.put(id, true);
-        schedule(nowNanos + (long) (step.micros() * NANOS_PER_MICRO), () -> stepEnded(id, step));
+        schedule(nowNanos + (long) (step.micros() * NANOS_PER_MICRO), () -> stepCompleted(id, step));
     }
 
-    /** Takes the tokens of a step. */
-    private void stepEnded(UpstreamId id, EngineModel.Step step) {
+    /** Processes the tokens of a completed step. */
+    private void stepCompleted(UpstreamId id, EngineModel.Step step) {
         stepping.put(id, false);
         for (EngineModel.Token token : step.tokens()) {
             AttemptId attempt = AttemptId.parse(token.stream().name());
@@ -177,49 +177,49 @@
             if (token.index() + 1 == token.stream().outputTokens()) {
                 scheduler.completed(attempt, token.stream().outputTokens());
                 releaseHelpers(attempt, job);
-                end(attempt, VirtualResult.End.COMPLETED);
+                finish(attempt, VirtualResult.End.COMPLETED);
             }
         }
-        pump();
+        dispatchReady();
         step(id);
     }
 
-    /** Releases what helping engines hold for an attempt. */
+    /** Releases the memory that helpers hold for an attempt. */
     private void releaseHelpers(AttemptId attempt, Job job) {
         for (Upstream helper : job.upstreams.subList(1, job.upstreams.size())) {
             engines.get(helper.id()).release(attempt.toString());
         }
     }
 
-    /** Removes what cannot end in time, as the owner does. */
+    /** Removes queued requests that cannot meet their time limit, as the owner does. */
     private void tick() {
         for (QueuedAttempt item : scheduler.expire()) {
-            end(item.command().attempt(), VirtualResult.End.EXPIRED);
+            finish(item.command().attempt(), VirtualResult.End.EXPIRED);
         }
-        pump();
+        dispatchReady();
         if (open > 0) {
             schedule(nowNanos + TICK_NANOS, this::tick);
         }
     }
 
-    /** Notes the end of a request. */
-    private void end(AttemptId attempt, VirtualResult.End how) {
+    /** Records the result of a request. */
+    private void finish(AttemptId attempt, VirtualResult.End outcome) {
         Job job = jobs.remove(attempt);
         open--;
         double idle = speed.idleFirstTokenMillis(job.record.inputTokens());
         double first = job.firstTokenNanos == 0 ? -1 : (job.firstTokenNanos - job.arrivedNanos) / NANOS_PER_MILLI;
         double total = (nowNanos - job.arrivedNanos) / NANOS_PER_MILLI;
-        results.add(new VirtualResult(job.record.inputTokens(), how, first, total, idle));
+        results.add(new VirtualResult(job.record.inputTokens(), outcome, first, total, idle));
     }
 
-    /** A request on its way. */
+    /** A request in progress. */
     private static final class Job {
         private final TraceRecord record;
         private final long arrivedNanos;
         private long firstTokenNanos;
         private List<Upstream> upstreams = List.of();
 
-        /** Creates a request that has just arrived. */
+        /** Creates a request at its arrival. */
         private Job(TraceRecord record, long arrivedNanos) {
             this.record = record;
             this.arrivedNanos = arrivedNanos;
@@ -227,11 +227,11 @@
     }
 
     /**
-     * Something that happens at a time.
+     * A scheduled event.
      *
-     * @param atNanos when
-     * @param sequence keeps the order of events at the same time
-     * @param action what
+     * @param atNanos virtual time of the event, in nanoseconds
+     * @param sequence tie-break that keeps the order of events at the same time
+     * @param action what the event does
      */
     private record Event(long atNanos, long sequence, Runnable action) implements Comparable<Event> {
 
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualResult.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualResult.java
@@ -1,23 +1,23 @@
 package org.apricotstack.bench.experiment;
 
 /**
- * What became of a request in virtual time.
+ * Result of a request in virtual time.
  *
  * @param promptTokens length of its prompt
- * @param end how it ended
- * @param firstTokenMillis time to its first token, negative if there was none
- * @param totalMillis time to its end
- * @param idleMillis time to first token on an idle engine
+ * @param end its outcome
+ * @param firstTokenMillis time to first token, in milliseconds; negative if there was none
+ * @param totalMillis time to its end, in milliseconds
+ * @param idleMillis time to first token on an idle engine, in milliseconds
  */
 record VirtualResult(long promptTokens, End end, double firstTokenMillis, double totalMillis, double idleMillis) {
 
-    /** Ways to end. */
+    /** Outcomes. */
     enum End {
-        /** With the whole answer. */
+        /** The answer is complete. */
         COMPLETED,
-        /** Refused at once. */
+        /** Refused on arrival. */
         REFUSED,
-        /** Removed from the queue, as it could not end in time any more. */
+        /** Removed from the queue because it could no longer meet its time limit. */
         EXPIRED
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Policies of one group compared on the same trace, in virtual time: the real scheduler over modelled engines.
+ * Comparison of queue policies in a discrete-event simulation with the real scheduler and modelled engines.
  */
 package org.apricotstack.bench.experiment;
