--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
@@ -15,8 +15,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Measures what routers spend on control while no request flows: bytes and packets on the wire, processor time,
- * heap; and how long a published change takes to be in force on all.
+ * Measures the control overhead of idle routers: bytes and packets on the wire, CPU time and heap; and the time until
+ * all routers have applied a published change.
  */
 final class ControlMeasurement {
 
@@ -36,41 +36,47 @@
     /** Runs all measurements. */
     List<Sample> run() {
         for (int routers : ROUTERS) {
-            againstRouters(routers);
+            measureByRouters(routers);
         }
         for (int engines : ENGINES) {
-            againstEngines(engines);
+            measureByEngines(engines);
         }
         return samples;
     }
 
-    /** Starts a deployment with as many routers and engines as wanted in all. */
+    /** Starts a deployment with the given total numbers of routers and engines. */
     private static LocalDeployment start(int routers, int engines) {
-        int each = engines / DATA_CENTRES.size();
+        int perDataCentre = engines / DATA_CENTRES.size();
         DeploymentShape shape = new DeploymentShape(
-                "measure", DATA_CENTRES, List.of(each, each, each, each), 0, routers / DATA_CENTRES.size(), 20, 0.5);
-        Timings usual = Timings.DEFAULT;
+                "measure",
+                DATA_CENTRES,
+                List.of(perDataCentre, perDataCentre, perDataCentre, perDataCentre),
+                0,
+                routers / DATA_CENTRES.size(),
+                20,
+                0.5);
+        Timings defaults = Timings.DEFAULT;
         return new LocalDeployment(
                 shape,
                 EngineSpeed.USUAL,
                 1,
                 new Timings(
-                        usual.probeMillis(),
-                        usual.probeTimeoutMillis(),
-                        usual.suspicionMillis(),
+                        defaults.probeMillis(),
+                        defaults.probeTimeoutMillis(),
+                        defaults.suspicionMillis(),
                         500,
-                        usual.watchMillis(),
-                        usual.careMillis()));
+                        defaults.watchMillis(),
+                        defaults.careMillis()));
     }
 
-    /** Measures the cost of one router against the number of routers. */
-    private void againstRouters(int routers) {
+    /** Measures the cost per router as a function of the number of routers. */
+    private void measureByRouters(int routers) {
         long heapBefore = MachineReadings.heapBytes();
         try (LocalDeployment deployment = start(routers, DATA_CENTRES.size())) {
-            pause(WARM_UP);
+            sleep(WARM_UP);
             for (int i = 0; i < WINDOWS; i++) {
                 MachineReadings before = MachineReadings.now();
-                pause(WINDOW);
+                sleep(WINDOW);
                 MachineReadings after = MachineReadings.now();
                 double seconds = after.secondsSince(before);
                 // Each byte on loopback is sent by one router or stand-in and received by another.
@@ -85,7 +91,7 @@
         }
     }
 
-    /** Publishes changes one after the other and measures how long each takes to be in force on all routers. */
+    /** Publishes changes one by one, and measures the time until all routers have applied each. */
     private void changes(LocalDeployment deployment, int routers) {
         MachineReadings before = MachineReadings.now();
         for (int i = 0; i < CHANGES; i++) {
@@ -105,19 +111,19 @@
         add("change-bytes-by-routers", routers, 2.0 * (after.sentBytes() - before.sentBytes()) / CHANGES / routers);
     }
 
-    /** Tells whether a router has not reached a version. */
+    /** Returns whether a router has not yet applied a version. */
     private static boolean isBehind(Router router, long version) {
         return router.configurationVersion() < version;
     }
 
-    /** Measures the cost of looking after engines. */
-    private void againstEngines(int engines) {
+    /** Measures the cost of supervising engines. */
+    private void measureByEngines(int engines) {
         try (LocalDeployment deployment = start(FEW_ROUTERS, engines)) {
-            pause(WARM_UP);
+            sleep(WARM_UP);
             double perRouter = (double) engines / deployment.routers().size();
             for (int i = 0; i < WINDOWS; i++) {
                 MachineReadings before = MachineReadings.now();
-                pause(WINDOW);
+                sleep(WINDOW);
                 MachineReadings after = MachineReadings.now();
                 double bytes = (after.sentBytes() - before.sentBytes()) / after.secondsSince(before) / FEW_ROUTERS;
                 add("control-bytes-per-second-by-engines-per-router", perRouter, 2 * bytes);
@@ -129,8 +135,8 @@
         }
     }
 
-    /** Lets time pass. */
-    private static void pause(Duration duration) {
+    /** Blocks for a duration. */
+    private static void sleep(Duration duration) {
         Mono.delay(duration).block();
     }
 
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/FleetModel.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/FleetModel.java
@@ -21,24 +21,24 @@
 import org.apricotstack.core.replication.DocumentDelta;
 
 /**
- * The documents of a fleet of any size.
+ * The configuration documents and the roster of a fleet of a given size.
  *
- * @param routers routers
- * @param replicas model replicas
- * @param accounts client accounts
+ * @param routers number of routers
+ * @param replicas number of model replicas
+ * @param accounts number of client accounts
  */
 record FleetModel(int routers, int replicas, int accounts) {
 
-    /** Data centres of the target fleet. */
+    /** Number of data centres of the target fleet. */
     static final int DATA_CENTRES = 8;
 
-    /** Models of the target fleet. */
+    /** Number of models of the target fleet. */
     static final int MODELS = 4;
 
-    /** Replicas of one group: the engines of a data centre are divided so that one router owns few. */
+    /** Number of replicas per group; small groups limit the number of engines that one router owns. */
     static final int GROUP_REPLICAS = 8;
 
-    /** Returns the whole configuration as a delta. */
+    /** Returns the complete configuration as a delta. */
     DocumentDelta configuration() {
         Map<String, String> documents = new LinkedHashMap<>();
         for (int m = 0; m < MODELS; m++) {
@@ -65,7 +65,7 @@
         return new DocumentDelta(0, 1, true, list, Map.of());
     }
 
-    /** Writes a service. */
+    /** Creates a service. */
     private static String service(String model) {
         return Json.STRICT
                 .createObjectNode()
@@ -78,7 +78,7 @@
                 .toString();
     }
 
-    /** Writes a group. */
+    /** Creates a group. */
     private static String group(int number) {
         return Json.STRICT
                 .createObjectNode()
@@ -88,7 +88,7 @@
                 .toString();
     }
 
-    /** Writes a client account. */
+    /** Creates a client account. */
     static String account(int number) {
         var document = Json.STRICT.createObjectNode();
         document.putArray("keyDigests").add(KeyDigests.of("key-" + number));
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/NewsMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/GossipMeasurement.java
@@ -8,16 +8,16 @@
 import org.apricotstack.serving.gossip.GossipHub;
 import reactor.core.publisher.Mono;
 
-/** Measures what the news between routers of one cell cost: heartbeats, and the news of requests. */
-final class NewsMeasurement {
+/** Measures the cost of gossip between the routers of one cell: heartbeats, and state updates of requests. */
+final class GossipMeasurement {
 
     private static final List<Integer> ROUTERS = List.of(4, 8, 16, 32, 64);
     private static final int WINDOWS = 2;
     private static final int REQUESTS = 200;
     private static final Duration WARM_UP = Duration.ofSeconds(6);
     private static final Duration WINDOW = Duration.ofSeconds(6);
-    private static final Duration SETTLE = Duration.ofMillis(600);
-    private static final Duration BETWEEN = Duration.ofMillis(4);
+    private static final Duration SETTLE_TIME = Duration.ofMillis(600);
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(4);
     private static final int CAPACITY_PERCENT = 100;
     private static final double PERCENT = 100;
     private static final double MICROS_PER_SECOND = 1e6;
@@ -27,28 +27,28 @@
     /** Runs all measurements. */
     List<Sample> run() {
         for (int routers : ROUTERS) {
-            List<NewsRouter> fleet = new ArrayList<>();
+            List<GossipNode> fleet = new ArrayList<>();
             try {
                 for (int i = 0; i < routers; i++) {
                     List<Address> seeds =
-                            fleet.stream().limit(3).map(NewsRouter::address).toList();
-                    fleet.add(new NewsRouter(i, seeds, CAPACITY_PERCENT));
+                            fleet.stream().limit(3).map(GossipNode::address).toList();
+                    fleet.add(new GossipNode(i, seeds, CAPACITY_PERCENT));
                 }
-                pause(WARM_UP);
+                sleep(WARM_UP);
                 idle(routers);
                 requests(fleet);
             } finally {
-                fleet.forEach(NewsRouter::close);
+                fleet.forEach(GossipNode::close);
             }
         }
         return samples;
     }
 
-    /** Measures heartbeats. */
+    /** Measures the cost of heartbeats. */
     private void idle(int routers) {
         for (int i = 0; i < WINDOWS; i++) {
             MachineReadings before = MachineReadings.now();
-            pause(WINDOW);
+            sleep(WINDOW);
             MachineReadings after = MachineReadings.now();
             double bytes = 2.0 * (after.sentBytes() - before.sentBytes()) / after.secondsSince(before) / routers;
             samples.add(new Sample("news-idle-bytes-per-second-by-routers", routers, bytes));
@@ -57,32 +57,32 @@
         }
     }
 
-    /** Measures the news of requests beyond the heartbeats, for each router of the cell. */
-    private void requests(List<NewsRouter> fleet) {
-        List<NewsRouter> taking = fleet.stream()
+    /** Measures the additional cost of state updates of requests, per router of the cell. */
+    private void requests(List<GossipNode> fleet) {
+        List<GossipNode> activeRouters = fleet.stream()
                 .filter(router -> router.read(GossipHub::takesCallers))
                 .toList();
         MachineReadings start = MachineReadings.now();
-        pause(SETTLE);
+        sleep(SETTLE_TIME);
         MachineReadings before = MachineReadings.now();
         double idleBytes = (before.sentBytes() - start.sentBytes()) / before.secondsSince(start);
         double idleCore = before.coreSince(start);
         for (int i = 0; i < REQUESTS; i++) {
-            taking.get(i % taking.size()).tellRequest();
-            pause(BETWEEN);
+            activeRouters.get(i % activeRouters.size()).announceRequest();
+            sleep(REQUEST_INTERVAL);
         }
-        pause(SETTLE);
+        sleep(SETTLE_TIME);
         MachineReadings after = MachineReadings.now();
         double seconds = after.secondsSince(before);
         double bytes = 2.0 * (after.sentBytes() - before.sentBytes() - idleBytes * seconds);
         double micros = (after.coreSince(before) - idleCore) * seconds * MICROS_PER_SECOND;
-        int each = REQUESTS * fleet.size();
-        samples.add(new Sample("news-bytes-per-request-and-router-by-routers", fleet.size(), bytes / each));
-        samples.add(new Sample("news-cpu-micros-per-request-and-router-by-routers", fleet.size(), micros / each));
+        int deliveries = REQUESTS * fleet.size();
+        samples.add(new Sample("news-bytes-per-request-and-router-by-routers", fleet.size(), bytes / deliveries));
+        samples.add(new Sample("news-cpu-micros-per-request-and-router-by-routers", fleet.size(), micros / deliveries));
     }
 
-    /** Lets time pass. */
-    private static void pause(Duration duration) {
+    /** Blocks for a duration. */
+    private static void sleep(Duration duration) {
         Mono.delay(duration).block();
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/NewsRouter.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/GossipNode.java
@@ -33,22 +33,22 @@
 import org.apricotstack.serving.publication.PublishedState;
 import reactor.core.publisher.Mono;
 
-/** The part of a router that exchanges news, without callers, upstreams and a platform. */
-final class NewsRouter implements AutoCloseable {
+/** The gossip component of a router, without callers, upstreams and a platform. */
+final class GossipNode implements AutoCloseable {
 
-    private static final Address ANY = new Address("127.0.0.1", 0);
+    private static final Address ANY_PORT = new Address("127.0.0.1", 0);
 
-    /** Usual length of a short prompt and of its reading, as the users' sheets give them. */
+    /** Typical length and prefill time of a short prompt. */
     private static final long PROMPT_TOKENS = 5_000;
 
-    private static final double READ_MILLIS = 30;
+    private static final double PREFILL_MILLIS = 30;
 
     private static final long LIMIT_MILLIS = 10_000;
     private static final long TARGET_MILLIS = 300;
-    private static final long PAUSE_MILLIS = 250;
+    private static final long TOKEN_GAP_MILLIS = 250;
 
     private final ServingLoop loop = new ServingLoop(System::nanoTime);
-    private final EngineLoadTable board = new EngineLoadTable();
+    private final EngineLoadTable loadTable = new EngineLoadTable();
     private final PeerTable peers = new PeerTable();
     private final DecisionLog log;
     private final GossipHub hub;
@@ -60,20 +60,20 @@
     private final DrainTable drains;
     private long placements;
 
-    /** Starts a router that knows some others. */
-    NewsRouter(int number, List<Address> seeds, int capacityPercent) {
+    /** Starts a router with seed peers. */
+    GossipNode(int number, List<Address> seeds, int capacityPercent) {
         log = new DecisionLog("host-" + number, System::currentTimeMillis);
-        OutlierDetector judge = new OutlierDetector();
+        OutlierDetector outlierDetector = new OutlierDetector();
         UpstreamTable upstreams = new UpstreamTable();
         drains = upstreams.drains();
-        PublishedState state = new PublishedState(null, upstreams, judge, board, log);
+        PublishedState state = new PublishedState(null, upstreams, outlierDetector, loadTable, log);
         ProcessId process = new ProcessId(new HostId("host-" + number), 1);
         suspects = new SuspectTable(process, found -> {});
         hub = new GossipHub(
                 loop,
                 peers,
-                board,
-                judge,
+                loadTable,
+                outlierDetector,
                 suspects,
                 limits,
                 drains,
@@ -83,9 +83,9 @@
                 () -> true,
                 () -> true,
                 () -> {});
-        server = new GossipServer(loop, ANY, hub);
+        server = new GossipServer(loop, ANY_PORT, hub);
         identity = new RouterIdentity(
-                process, new DataCentreId("dc"), ANY, new Address(ANY.ip(), server.port()), capacityPercent);
+                process, new DataCentreId("dc"), ANY_PORT, new Address(ANY_PORT.ip(), server.port()), capacityPercent);
         heartbeats = new HeartbeatPort(loop, identity.peerAddress());
         loop.execute(() -> {
             seeds.forEach(peers::addAddress);
@@ -93,44 +93,47 @@
         });
     }
 
-    /** Returns where others reach it. */
+    /** Returns the address for other routers. */
     Address address() {
         return identity.peerAddress();
     }
 
-    /** Returns what the hub knows, read on its thread. */
-    <T> T read(Function<GossipHub, T> question) {
-        return Mono.<T>create(sink -> loop.execute(() -> sink.success(question.apply(hub))))
+    /** Evaluates a query of the hub on its thread. */
+    <T> T read(Function<GossipHub, T> query) {
+        return Mono.<T>create(sink -> loop.execute(() -> sink.success(query.apply(hub))))
                 .block();
     }
 
-    /** Tells of a whole request: its placement, its first event, and its end, each in a frame of its own. */
-    void tellRequest() {
-        EnginePlacement placement = tellPlacement();
+    /** Announces a complete request: its placement, first event and end, in three separate frames. */
+    void announceRequest() {
+        EnginePlacement placement = announcePlacement();
         loop.schedule(1, () -> hub.decodeStarted(placement));
         loop.schedule(2, () -> hub.ended(placement));
     }
 
-    /** Tells of a placement that does not end. */
-    EnginePlacement tellPlacement() {
+    /** Announces a placement that does not end. */
+    EnginePlacement announcePlacement() {
         PlacementId id = new PlacementId(identity.process(), ++placements);
         EnginePlacement placement = new EnginePlacement(
                 id,
-                List.of(new EnginePart(new UpstreamId("i-0123456789"), READ_MILLIS, PROMPT_TOKENS)),
+                List.of(new EnginePart(new UpstreamId("i-0123456789"), PREFILL_MILLIS, PROMPT_TOKENS)),
                 PROMPT_TOKENS,
                 TARGET_MILLIS,
-                PAUSE_MILLIS);
+                TOKEN_GAP_MILLIS);
         loop.execute(() -> hub.placed(placement, LIMIT_MILLIS));
         return placement;
     }
 
-    /** Sets what takes each request of which another router tells. */
-    void whenHeardOfEnd(Consumer<RequestDigest> action) {
+    /** Sets the callback for requests under which other routers reported a crash. */
+    void onCrashReported(Consumer<RequestDigest> action) {
         loop.execute(() -> hub.suspects().onCrashReported(action));
     }
 
-    /** Tells that an upstream ended while a request was in flight there; to all if it is told to be the cause. */
-    void tellEnd(RequestDigest request, UpstreamId upstream, boolean toAll) {
+    /**
+     * Announces that an upstream crashed while it ran a request; to all routers if the request is reported as the
+     * cause.
+     */
+    void announceCrash(RequestDigest request, UpstreamId upstream, boolean toAll) {
         loop.execute(() -> {
             long now = loop.nowMillis();
             suspects.upstreamCrashed(request, new ObservedCrash(upstream, false, now), identity.process(), now);
@@ -141,19 +144,19 @@
         });
     }
 
-    /** Does something once this router knows the limit of an upstream; looks every millisecond. */
-    void whenLimited(UpstreamId upstream, Runnable then) {
+    /** Runs an action once this router knows the limit of an upstream; polls every millisecond. */
+    void whenLimited(UpstreamId upstream, Runnable action) {
         loop.execute(() -> {
             if (limits.find(upstream) == null) {
-                loop.schedule(1, () -> whenLimited(upstream, then));
+                loop.schedule(1, () -> whenLimited(upstream, action));
             } else {
-                then.run();
+                action.run();
             }
         });
     }
 
-    /** Tells that an upstream named a limit. */
-    void tellLimit(UpstreamId upstream, double perSecond) {
+    /** Announces a rate limit of an upstream. */
+    void announceLimit(UpstreamId upstream, double perSecond) {
         loop.execute(() -> {
             RateLimit limit = new RateLimit(perSecond, loop.nowMillis());
             limits.reportedByPeer(upstream, limit);
@@ -161,19 +164,19 @@
         });
     }
 
-    /** Does something once this router knows that an upstream leaves; looks every millisecond. */
-    void whenDraining(UpstreamId upstream, Runnable then) {
+    /** Runs an action once this router knows that an upstream is draining; polls every millisecond. */
+    void whenDraining(UpstreamId upstream, Runnable action) {
         loop.execute(() -> {
             if (drains.isDraining(upstream)) {
-                then.run();
+                action.run();
             } else {
-                loop.schedule(1, () -> whenDraining(upstream, then));
+                loop.schedule(1, () -> whenDraining(upstream, action));
             }
         });
     }
 
-    /** Tells that an upstream announced that it leaves. */
-    void tellDrain(UpstreamId upstream) {
+    /** Announces that an upstream is draining. */
+    void announceDrain(UpstreamId upstream) {
         loop.execute(() -> {
             drains.answerReceived(upstream, AdvertisedDrain.DRAINING, loop.nowMillis(), loop.nowMillis());
             hub.drainChanged(upstream);
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/MachineReadings.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/MachineReadings.java
@@ -12,12 +12,12 @@
 import org.apricotstack.core.failure.ErrorCode;
 
 /**
- * Reads what this process has used of the machine.
+ * Resource usage of this process, and the loopback traffic of the machine.
  *
- * @param cpuNanos processor time of this process
- * @param sentBytes bytes that went over loopback, with all headers
- * @param sentPackets packets that went over loopback
- * @param atNanos when it was read
+ * @param cpuNanos CPU time of this process
+ * @param sentBytes bytes sent over loopback, including all headers
+ * @param sentPackets packets sent over loopback
+ * @param atNanos time of the reading
  */
 record MachineReadings(long cpuNanos, long sentBytes, long sentPackets, long atNanos) {
 
@@ -26,9 +26,9 @@
     private static final int SENT_BYTES = 9;
     private static final int SENT_PACKETS = 10;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final int COLLECTIONS = 3;
+    private static final int GC_RUNS = 3;
 
-    /** Reads now. */
+    /** Takes a reading. */
     static MachineReadings now() {
         OperatingSystemMXBean system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         try {
@@ -59,22 +59,22 @@
         return (double) (cpuNanos - earlier.cpuNanos) / (atNanos - earlier.atNanos);
     }
 
-    /** Returns the bytes on the heap that are in use after collections. */
+    /** Returns the heap in use after garbage collections, in bytes. */
     static long heapBytes() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         Runtime runtime = Runtime.getRuntime();
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Returns the bytes that this thread has allocated. */
+    /** Returns the bytes allocated by this thread. */
     static long allocatedBytes() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         return threads.getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
-    /** Returns the processor time of this thread. */
+    /** Returns the CPU time of this thread, in nanoseconds. */
     static long threadNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/MeasurementFiles.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/MeasurementFiles.java
@@ -20,7 +20,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries.XYSeriesRenderStyle;
 
-/** Writes samples, the lines through them, and a plot of each series. */
+/** Writes samples, fitted lines, and a plot of each series. */
 public final class MeasurementFiles {
 
     private static final int WIDTH = 640;
@@ -31,7 +31,7 @@
     /**
      * Creates a writer.
      *
-     * @param folder where the files go
+     * @param folder folder for the files
      */
     public MeasurementFiles(Path folder) {
         this.folder = folder;
@@ -40,9 +40,9 @@
     /**
      * Writes the files of one group of measurements.
      *
-     * @param name the group
+     * @param name name of the group
      * @param samples its samples
-     * @return the lines through the series
+     * @return the fitted lines of the series
      */
     public List<Slope> write(String name, List<Sample> samples) {
         Map<String, List<Sample>> series = new LinkedHashMap<>();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Writes the lines. */
+    /** Writes the fitted lines. */
     private static void writeSlopes(Path file, List<Slope> slopes) throws IOException {
         String[] names = {"series", "slope", "intercept", "r2", "median", "least", "most", "samples"};
         try (Writer writer = Files.newBufferedWriter(file);
@@ -86,14 +86,14 @@
                         number(slope.intercept()),
                         number(slope.r2()),
                         number(slope.median()),
-                        number(slope.least()),
-                        number(slope.most()),
+                        number(slope.min()),
+                        number(slope.max()),
                         slope.samples());
             }
         }
     }
 
-    /** Returns the form of the files. */
+    /** Returns the CSV format of the files. */
     private static CSVFormat format(String... header) {
         return CSVFormat.DEFAULT
                 .builder()
@@ -102,7 +102,7 @@
                 .get();
     }
 
-    /** Writes a number with four significant digits. */
+    /** Formats a number with four significant digits. */
     private static String number(double value) {
         return String.format(Locale.ROOT, "%.4g", value);
     }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Measurements.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Measurements.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.function.Supplier;
 
-/** Runs the measurements behind the page on capacity. */
+/** Runs the measurements on which the capacity page is based. */
 public final class Measurements {
 
     private final MeasurementFiles files;
@@ -15,55 +15,55 @@
     /**
      * Creates the measurements.
      *
-     * @param folder where the results go
-     * @param out where the lines are printed
+     * @param folder folder for the results
+     * @param out where the fitted lines are printed
      */
     public Measurements(Path folder, PrintStream out) {
         this.files = new MeasurementFiles(folder);
         this.out = out;
     }
 
-    /** Measures state and decisions of one router against the size of the fleet. */
+    /** Measures state and decisions of one router as a function of the fleet size. */
     public void state() {
         print(files.write("state", new StateMeasurement().run()));
     }
 
-    /** Measures control traffic, processor time and heap of routers that run over loopback. */
+    /** Measures control traffic, CPU time and heap of routers connected over loopback. */
     public void control() {
         print(files.write("control", new ControlMeasurement().run()));
     }
 
-    /** Measures the news between routers that place requests by themselves. */
-    public void news() {
-        print(files.write("news", new NewsMeasurement().run()));
+    /** Measures the gossip between routers. */
+    public void gossip() {
+        print(files.write("news", new GossipMeasurement().run()));
     }
 
-    /** Measures how soon all routers know of an upstream that ended under a request. */
+    /** Measures the propagation time of an upstream crash under a request. */
     public void suspects() {
-        print(files.write("suspects", new SuspectNewsMeasurement().run()));
+        print(files.write("suspects", new SuspectGossipMeasurement().run()));
     }
 
-    /** Measures how soon all routers know of a rate limit that one of them read. */
+    /** Measures the propagation time of a rate limit that one router received from an upstream. */
     public void limits() {
-        print(files.write("limits", UpstreamNewsMeasurement.ofLimits().run()));
+        print(files.write("limits", UpstreamGossipMeasurement.ofLimits().run()));
     }
 
-    /** Measures how soon all routers know of a drain that one of them read. */
+    /** Measures the propagation time of a drain that one router received from an upstream. */
     public void drains() {
-        print(files.write("drains", UpstreamNewsMeasurement.ofDrains().run()));
+        print(files.write("drains", UpstreamGossipMeasurement.ofDrains().run()));
     }
 
     /**
-     * Measures starts of routers as processes of their own.
+     * Measures the start of routers that run as separate processes.
      *
-     * @param fleets starts a fleet without routers
-     * @param mostRouters size of the largest fleet
+     * @param fleets supplier of fleets without routers
+     * @param maxRouters size of the largest fleet
      */
-    public void starts(Supplier<RouterPrograms> fleets, int mostRouters) {
-        print(files.write("start", new StartMeasurement(fleets, mostRouters).run()));
+    public void starts(Supplier<RouterProcesses> fleets, int maxRouters) {
+        print(files.write("start", new StartMeasurement(fleets, maxRouters).run()));
     }
 
-    /** Prints lines. */
+    /** Prints fitted lines. */
     private void print(List<Slope> slopes) {
         for (Slope slope : slopes) {
             out.println(String.format(
@@ -74,8 +74,8 @@
                     slope.intercept(),
                     slope.r2(),
                     slope.median(),
-                    slope.least(),
-                    slope.most()));
+                    slope.min(),
+                    slope.max()));
         }
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ProcessReadings.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ProcessReadings.java
@@ -11,19 +11,19 @@
 import org.apricotstack.core.failure.ErrorCode;
 
 /**
- * What a process has used of the machine.
+ * Resource usage of a process.
  *
- * @param cpuSeconds processor time
- * @param wakeUps how often its threads went to sleep of themselves
- * @param sockets sockets that are open
- * @param peakMegabytes memory at its peak
+ * @param cpuSeconds CPU time, in seconds
+ * @param wakeUps number of voluntary context switches of its threads
+ * @param sockets number of open sockets
+ * @param peakMegabytes peak resident memory
  */
 record ProcessReadings(double cpuSeconds, long wakeUps, long sockets, double peakMegabytes) {
 
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double KILOBYTES_PER_MEGABYTE = 1_024;
 
-    /** Reads a process that runs. */
+    /** Reads the usage of a running process. */
     static ProcessReadings of(ProcessHandle process) {
         Path folder = Path.of("/proc", Long.toString(process.pid()));
         try (Stream<Path> threads = Files.list(folder.resolve("task"));
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Reads a number from the state of a process or thread; 0 if it has ended meanwhile. */
+    /** Reads a number from the status file of a process or thread; 0 if it has ended meanwhile. */
     private static long status(Path folder, String name) {
         try {
             List<String> lines = Files.readAllLines(folder.resolve("status"));
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Tells whether a descriptor is a socket. */
+    /** Returns whether a descriptor is a socket. */
     private static boolean isSocket(Path descriptor) {
         try {
             return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/RouterPrograms.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/RouterProcesses.java
@@ -1,7 +1,7 @@
 package org.apricotstack.bench.measure;
 
-/** Routers that run as processes of their own, and end when this is closed. */
-public interface RouterPrograms extends AutoCloseable {
+/** Routers that run as separate processes, and are stopped on close. */
+public interface RouterProcesses extends AutoCloseable {
 
     /**
      * Starts one more router.
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Sample.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Sample.java
@@ -3,8 +3,8 @@
 /**
  * One measured point.
  *
- * @param series the name of the slope that it belongs to
- * @param x what was varied
- * @param y what was measured
+ * @param series name of its series
+ * @param x independent variable
+ * @param y measured value
  */
 public record Sample(String series, double x, double y) {}
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Slope.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/Slope.java
@@ -6,32 +6,25 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through the samples of a series.
+ * A line fitted to the samples of a series.
  *
- * @param series the name
- * @param slope rise for one of what was varied
- * @param intercept value at zero
- * @param r2 share of the variance that the line explains; no number if nothing was varied
+ * @param series name of the series
+ * @param slope increase of the value per unit of the independent variable
+ * @param intercept value of the line at zero
+ * @param r2 share of the variance that the line explains; NaN if all samples have the same x
  * @param median median of all samples
- * @param least the least sample
- * @param most the greatest sample
- * @param samples how many there are
+ * @param min the smallest sample
+ * @param max the largest sample
+ * @param samples number of samples
  */
 public record Slope(
-        String series,
-        double slope,
-        double intercept,
-        double r2,
-        double median,
-        double least,
-        double most,
-        long samples) {
+        String series, double slope, double intercept, double r2, double median, double min, double max, long samples) {
 
     /**
      * Fits a line.
      *
-     * @param series the name
-     * @param samples the samples of that name
+     * @param series name of the series
+     * @param samples the samples of the series
      * @return the line
      */
     public static Slope of(String series, List<Sample> samples) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/StartMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/StartMeasurement.java
@@ -8,32 +8,32 @@
 
 import reactor.core.publisher.Mono;
 
-/** Measures what a router costs from its start until it stands by, in fleets that start together. */
+/** Measures the resource usage of a router from its start until it is on standby, in fleets that start together. */
 final class StartMeasurement {
 
     private static final List<Integer> ROUTERS = List.of(1, 7, 20, 40, 80);
 
-    /** Seconds after the common start at which the fleet is read. */
+    /** Seconds after the common start at which the usage is read. */
     private static final List<Integer> READ_AT_SECONDS = List.of(5, 20);
 
     private static final Duration IDLE = Duration.ofSeconds(10);
     private static final Duration JOINING = Duration.ofSeconds(5);
     private static final double PERCENT = 100;
 
-    private final Supplier<RouterPrograms> fleets;
-    private final int mostRouters;
+    private final Supplier<RouterProcesses> fleets;
+    private final int maxRouters;
     private final List<Sample> samples = new ArrayList<>();
 
-    /** Creates a measurement of fleets up to a size. */
-    StartMeasurement(Supplier<RouterPrograms> fleets, int mostRouters) {
+    /** Creates a measurement of fleets up to a maximum size. */
+    StartMeasurement(Supplier<RouterProcesses> fleets, int maxRouters) {
         this.fleets = fleets;
-        this.mostRouters = mostRouters;
+        this.maxRouters = maxRouters;
     }
 
     /** Runs all measurements. */
     List<Sample> run() {
         for (int routers : ROUTERS) {
-            if (routers <= mostRouters) {
+            if (routers <= maxRouters) {
                 measure(routers);
             }
         }
@@ -42,19 +42,19 @@
 
     /** Measures one fleet: its start, its idle time, and one router that joins it. */
     private void measure(int routers) {
-        try (RouterPrograms fleet = fleets.get()) {
+        try (RouterProcesses fleet = fleets.get()) {
             List<ProcessHandle> processes = new ArrayList<>();
             for (int i = 0; i < routers; i++) {
                 processes.add(fleet.start());
             }
-            int passedSeconds = 0;
+            int elapsedSeconds = 0;
             for (int seconds : READ_AT_SECONDS) {
-                pause(Duration.ofSeconds(seconds - passedSeconds));
-                passedSeconds = seconds;
+                sleep(Duration.ofSeconds(seconds - elapsedSeconds));
+                elapsedSeconds = seconds;
                 add("start-cpu-seconds-at-" + seconds + "s-by-routers", routers, read(processes), r -> r.cpuSeconds());
             }
             List<ProcessReadings> before = read(processes);
-            pause(IDLE);
+            sleep(IDLE);
             List<ProcessReadings> after = read(processes);
             double idleSeconds = IDLE.toSeconds();
             double core = mean(after, ProcessReadings::cpuSeconds) - mean(before, ProcessReadings::cpuSeconds);
@@ -64,12 +64,12 @@
             add("start-sockets-by-routers", routers, after, ProcessReadings::sockets);
             add("start-peak-megabytes-by-routers", routers, after, ProcessReadings::peakMegabytes);
             ProcessHandle last = fleet.start();
-            pause(JOINING);
+            sleep(JOINING);
             add("start-cpu-seconds-joining-by-routers", routers, read(List.of(last)), ProcessReadings::cpuSeconds);
         }
     }
 
-    /** Reads all processes. */
+    /** Reads the usage of all processes. */
     private static List<ProcessReadings> read(List<ProcessHandle> processes) {
         return processes.stream().map(ProcessReadings::of).toList();
     }
@@ -85,8 +85,8 @@
         return readings.stream().mapToDouble(value).average().orElse(0);
     }
 
-    /** Lets time pass. */
-    private static void pause(Duration duration) {
+    /** Blocks for a duration. */
+    private static void sleep(Duration duration) {
         Mono.delay(duration).block();
     }
 }
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/StateMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/StateMeasurement.java
@@ -32,7 +32,7 @@
 import org.apricotstack.core.time.Deadline;
 import org.apricotstack.core.time.MonotonicClock;
 
-/** Measures state and decisions of one router against the size of the fleet, without any network. */
+/** Measures state and decisions of one router as a function of the fleet size, without network. */
 final class StateMeasurement {
 
     private static final List<Integer> ROUTERS = List.of(8, 80, 220, 440, 660);
@@ -56,7 +56,7 @@
         return samples;
     }
 
-    /** Measures one size of the fleet. */
+    /** Measures one fleet size. */
     private void measure(int routers) {
         FleetModel model = new FleetModel(routers, (int) Math.round(routers * REPLICAS_PER_ROUTER), (int)
                 Math.round(routers * ACCOUNTS_PER_ROUTER));
@@ -69,7 +69,7 @@
         decisions(model, replica.value(), routers);
     }
 
-    /** Measures what it takes to check and adopt one changed document. */
+    /** Measures the cost of validating and applying one changed document. */
     private void changes(DocumentReplica<FleetConfiguration> replica, int routers) {
         for (int block = 0; block < BLOCKS; block++) {
             long before = MachineReadings.threadNanos();
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Measures the choice of a group and its owner. */
+    /** Measures the cost of choosing a group and its owner. */
     private void decisions(FleetModel model, FleetConfiguration configuration, int routers) {
         MonotonicClock clock = System::nanoTime;
         GroupLoadTable loads = new GroupLoadTable(clock);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Makes a request with a prefix of its own. */
+    /** Creates a request with a unique prefix. */
     private static AdmittedRequest request(
             FleetConfiguration configuration, Service service, MonotonicClock clock, int number) {
         Work work = new Work(
@@ -144,7 +144,7 @@
                 configuration);
     }
 
-    /** Measures the memory of what is remembered of one engine's prefixes. */
+    /** Measures the memory of the prefix index of one engine. */
     private void prefixIndex() {
         for (int entries = PREFIXES / 4; entries <= PREFIXES; entries += PREFIXES / 4) {
             long before = MachineReadings.heapBytes();
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/package-info.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Measurements of what a router costs, as slopes against the size of the fleet.
+ * Measurements of the resource usage of a router as a function of the fleet size.
  */
 package org.apricotstack.bench.measure;
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/measure/ProcessReadingsTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/measure/ProcessReadingsTest.java
@@ -12,7 +12,7 @@
 class ProcessReadingsTest {
 
     @Test
-    void readsWhatARunningProcessUses() throws IOException {
+    void readsTheUsageOfARunningProcess() throws IOException {
         ProcessReadings before = ProcessReadings.of(ProcessHandle.current());
         try (ServerSocket socket = new ServerSocket(0)) {
             assertThat(socket.isBound()).isTrue();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void saysThatAProcessHasEnded() throws Exception {
+    void failsForAProcessThatHasEnded() throws Exception {
         Process ended = new ProcessBuilder("true").start();
         ended.waitFor();
         assertThatThrownBy(() -> ProcessReadings.of(ended.toHandle()))
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/DeployedProgram.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/DeployedProgram.java
@@ -7,21 +7,21 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import org.apricotstack.bench.measure.RouterPrograms;
+import org.apricotstack.bench.measure.RouterProcesses;
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.failure.ErrorCode;
 import org.apricotstack.platform.MeasuredFleet;
 
-/** The program as {@code deploy/system.toml} runs it. */
+/** The built program, started with the command in {@code deploy/system.toml}. */
 final class DeployedProgram {
 
-    /** Engines that the store lists, as many as a deployment with some eighty hosts has. */
+    /** Number of engines in the store, as in a deployment with about 80 hosts. */
     private static final int ENGINES = 80;
 
     private final Path root;
     private final List<String> command;
 
-    /** Reads how the program is run that was built in a folder. */
+    /** Reads the start command of the program that was built in a folder. */
     DeployedProgram(Path root) {
         this.root = root;
         Path file = root.resolve("deploy/system.toml");
@@ -44,10 +44,10 @@
         }
     }
 
-    /** Starts a fleet without routers. */
-    RouterPrograms fleet() {
+    /** Starts the platform of a fleet that has no routers yet. */
+    RouterProcesses fleet() {
         MeasuredFleet fleet = new MeasuredFleet(root, command, ENGINES);
-        return new RouterPrograms() {
+        return new RouterProcesses() {
             @Override
             public ProcessHandle start() {
                 return fleet.start();
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/MeasureCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/MeasureCommand.java
@@ -6,8 +6,10 @@
 import com.beust.jcommander.Parameters;
 import org.apricotstack.bench.measure.Measurements;
 
-/** Makes the slopes behind the page on capacity afresh. */
-@Parameters(commandDescription = "Measures what a router costs and writes CSV files and plots; takes some minutes.")
+/** Repeats the measurements on which the capacity page is based. */
+@Parameters(
+        commandDescription =
+                "Measures the resource usage of a router and writes CSV files and plots; takes several minutes.")
 final class MeasureCommand extends Command {
 
     @Parameter(names = "--out", description = "Folder for the results.")
@@ -15,14 +17,16 @@
 
     @Parameter(
             names = "--only",
-            description = "state, control, news, suspects, limits, drains or starts; the first three if left out.")
+            description = "state, control, news, suspects, limits, drains or starts; default: the first three.")
     private String only = "";
 
-    @Parameter(names = "--program", description = "Folder of the sources whose built program is started.")
+    @Parameter(names = "--program", description = "Source folder of the built program that is started.")
     private String folder = "";
 
-    @Parameter(names = "--most-routers", description = "Largest fleet of starts; a router takes some 80 MB.")
-    private int mostRouters = 40;
+    @Parameter(
+            names = "--most-routers",
+            description = "Largest fleet for \"starts\"; each router uses about 80 MB of memory.")
+    private int maxRouters = 40;
 
     @Override
     int run() {
@@ -34,7 +38,7 @@
             measurements.control();
         }
         if (only.isEmpty() || only.equals("news")) {
-            measurements.news();
+            measurements.gossip();
         }
         if (only.equals("suspects")) {
             measurements.suspects();
@@ -47,7 +51,7 @@
         }
         if (only.equals("starts")) {
             DeployedProgram program = new DeployedProgram(Path.of(folder).toAbsolutePath());
-            measurements.starts(program::fleet, mostRouters);
+            measurements.starts(program::fleet, maxRouters);
         }
         return ExitCode.OK;
     }
