--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/CheckCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/CheckCommand.java
@@ -6,7 +6,7 @@
 import com.beust.jcommander.Parameters;
 import org.apricotstack.adapters.settings.SettingsReader;
 
-/** Checks a settings file and reports all its problems. */
+/** Validates a settings file and reports all its problems. */
 @Parameters(commandDescription = "Checks a settings file; exits 2 and lists every problem if it cannot be used.")
 final class CheckCommand extends Command {
 
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/CheckConfigurationCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/CheckConfigurationCommand.java
@@ -7,8 +7,8 @@
 import com.beust.jcommander.Parameters;
 import org.apricotstack.core.configuration.FleetConfiguration;
 
-/** Checks a configuration before it is published. */
-@Parameters(commandDescription = "Checks a configuration file as all routers do; exits 2 and lists every problem.")
+/** Validates configuration files before they are published. */
+@Parameters(commandDescription = "Validates configuration files as the routers do; exits 2 and lists every problem.")
 final class CheckConfigurationCommand extends Command {
 
     @Parameter(required = true, description = "FILE")
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/CollectedLogs.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/CollectedLogs.java
@@ -13,15 +13,15 @@
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.failure.ErrorCode;
 
-/** Reads the log lines of routers from files in which they were collected. */
+/** Parses the log lines of routers from collected log files. */
 final class CollectedLogs {
 
     private CollectedLogs() {}
 
     /**
-     * Reads all lines of routers.
+     * Reads the log lines of all routers.
      *
-     * @param files collected logs; text before the JSON object of a line, and lines of other programs, are passed over
+     * @param files collected logs; text before the JSON object of a line, and lines of other programs, are skipped
      * @return the lines in the order of the files
      * @throws ApricotException if a file cannot be read
      */
@@ -32,13 +32,13 @@
                 texts.forEach(text -> add(all, text));
             } catch (IOException e) {
                 throw new ApricotException(
-                        ErrorCode.ENVIRONMENT, "Cannot read " + file + "; give the files of collected logs.", e);
+                        ErrorCode.ENVIRONMENT, "Cannot read " + file + "; pass files with collected logs.", e);
             }
         }
         return all;
     }
 
-    /** Adds a line if it holds a JSON object. */
+    /** Adds a line if it contains a JSON object with an event. */
     private static void add(List<JsonNode> lines, String text) {
         int start = text.indexOf('{');
         if (start < 0) {
@@ -50,7 +50,7 @@
                 lines.add(line);
             }
         } catch (JsonProcessingException e) {
-            // Collected logs hold lines of other programs too.
+            // Collected logs also contain lines of other programs.
             return;
         }
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/Command.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/Command.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameter;
 
-/** One command; its options are fields of the subclass. */
+/** Base class of all commands; the options are fields of the subclass. */
 abstract class Command {
 
     @Parameter(
@@ -11,7 +11,7 @@
             description = "Shows the options of this command.")
     private boolean help;
 
-    /** Tells whether only the options are to be shown. */
+    /** Returns whether only the help text is requested. */
     boolean isHelp() {
         return help;
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/CommandHelp.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/CommandHelp.java
@@ -7,41 +7,41 @@
 import com.beust.jcommander.JCommander;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** Tells which commands there are and which one was probably meant. */
+/** Prints the list of commands and suggests a command for a mistyped one. */
 final class CommandHelp {
 
-    private static final Set<String> HELP_WORDS = Set.of("--help", "-h", "help");
-    private static final String VERSION_WORD = "--version";
+    private static final Set<String> HELP_ARGUMENTS = Set.of("--help", "-h", "help");
+    private static final String VERSION_ARGUMENT = "--version";
 
-    /** Letters by which a mistyped command may differ from the one that was meant. */
-    private static final int MOST_WRONG_LETTERS = 4;
+    /** Largest edit distance between a mistyped command and the suggested one. */
+    private static final int MAX_EDIT_DISTANCE = 4;
 
     private final JCommander parser;
 
-    /** Creates the help of a parser that knows all commands. */
+    /** Creates the help for a parser with which all commands are registered. */
     CommandHelp(JCommander parser) {
         this.parser = parser;
     }
 
-    /** Answers a command line that asks for help or the version; tells whether it did. */
-    boolean answers(String[] arguments) {
-        if (arguments.length == 0 || arguments.length == 1 && HELP_WORDS.contains(arguments[0])) {
+    /** Prints help or the version if the command line requests it; returns whether it did. */
+    boolean handle(String[] arguments) {
+        if (arguments.length == 0 || arguments.length == 1 && HELP_ARGUMENTS.contains(arguments[0])) {
             System.out.print(list());
             return true;
         }
-        if (arguments.length == 1 && arguments[0].equals(VERSION_WORD)) {
+        if (arguments.length == 1 && arguments[0].equals(VERSION_ARGUMENT)) {
             System.out.println(parser.getProgramName() + " " + version());
             return true;
         }
-        boolean asksForOne = arguments.length == 2 && arguments[0].equals("help");
-        if (asksForOne && parser.getCommands().containsKey(arguments[1])) {
+        boolean requestsCommandHelp = arguments.length == 2 && arguments[0].equals("help");
+        if (requestsCommandHelp && parser.getCommands().containsKey(arguments[1])) {
             parser.getUsageFormatter().usage(arguments[1]);
             return true;
         }
         return false;
     }
 
-    /** Lists the commands, a line each. */
+    /** Lists the commands, one per line. */
     private String list() {
         Map<String, JCommander> commands = parser.getCommands();
         int width = commands.keySet().stream().mapToInt(String::length).max().orElse(0);
@@ -52,7 +52,7 @@
                 .append(parser.getUsageFormatter().getCommandDescription(name))
                 .append('\n'));
         text.append("\n\"apricot COMMAND --help\" lists the options of a command.\n");
-        return text.append("\"apricot --version\" tells the version.\n").toString();
+        return text.append("\"apricot --version\" prints the version.\n").toString();
     }
 
     /** Returns the version of the program. */
@@ -61,8 +61,8 @@
         return version == null ? "not packaged" : version;
     }
 
-    /** Returns what to try after a command that does not exist; nothing if the first word is a command. */
-    String remedy(String[] arguments) {
+    /** Returns a suggestion for an unknown command; empty if the first argument is a command. */
+    String suggestion(String[] arguments) {
         Map<String, JCommander> commands = parser.getCommands();
         if (commands.containsKey(arguments[0])) {
             return "";
@@ -70,7 +70,7 @@
         LevenshteinDistance distance = new LevenshteinDistance();
         return commands.keySet().stream()
                 .min(Comparator.comparingInt(name -> distance.apply(arguments[0], name)))
-                .filter(name -> distance.apply(arguments[0], name) <= MOST_WRONG_LETTERS)
+                .filter(name -> distance.apply(arguments[0], name) <= MAX_EDIT_DISTANCE)
                 .map(name -> "Did you mean \"" + name + "\"? ")
                 .orElse("");
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/ConfigurationFile.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/ConfigurationFile.java
@@ -21,12 +21,12 @@
 import org.apricotstack.core.replication.DocumentSet;
 import org.apricotstack.core.replication.Validated;
 
-/** A file with all documents of a set: one object whose fields are the keys. */
+/** A file with all documents of a set: one JSON object with a field for each document key. */
 final class ConfigurationFile {
 
     private ConfigurationFile() {}
 
-    /** Reads the documents of a file by key. */
+    /** Reads the documents of a file, indexed by key. */
     static Map<String, String> read(Path file) {
         try {
             JsonNode tree = Json.COMMENTED.readTree(Files.readString(file));
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads and validates a configuration, or throws an error that lists every problem. */
+    /** Reads and validates a configuration; throws an error that lists every problem. */
     static FleetConfiguration validated(Path file) {
         List<Document> documents = new ArrayList<>();
         read(file).forEach((key, body) -> documents.add(new Document(key, 1, body)));
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/Deployment.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/Deployment.java
@@ -2,11 +2,11 @@
 
 import org.apricotstack.bench.deployment.DeploymentShape;
 
-/** The deployments that can be named on the command line. */
+/** Deployments that the command line accepts. */
 enum Deployment {
-    /** The gift registry's. */
+    /** The deployment of the gift registry. */
     REGISTRY(DeploymentShape.REGISTRY),
-    /** The cooperative's. */
+    /** The deployment of the cooperative. */
     COOPERATIVE(DeploymentShape.COOPERATIVE);
 
     private final DeploymentShape shape;
@@ -15,7 +15,7 @@
         this.shape = shape;
     }
 
-    /** Returns the shape. */
+    /** Returns the size and layout of the deployment. */
     DeploymentShape shape() {
         return shape;
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/DiffConfigurationCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/DiffConfigurationCommand.java
@@ -10,8 +10,9 @@
 import org.apricotstack.core.configuration.ClientAccount;
 import org.apricotstack.core.configuration.FleetConfiguration;
 
-/** Shows which documents two configurations differ in, and which client accounts that touches. */
-@Parameters(commandDescription = "Shows what changes between two configuration files, and whom it touches.")
+/** Lists the documents that differ between two configurations and the client accounts that are affected. */
+@Parameters(
+        commandDescription = "Lists the differences between two configuration files and the client accounts affected.")
 final class DiffConfigurationCommand extends Command {
 
     private static final String ALL = "all client accounts";
@@ -22,7 +23,7 @@
     @Override
     int run() {
         if (files.size() != 2) {
-            System.err.println("Give two files: the old configuration and the new one.");
+            System.err.println("Pass two files: the old configuration and the new one.");
             return ExitCode.USAGE;
         }
         Map<String, String> before = ConfigurationFile.read(Path.of(files.get(0)));
@@ -33,13 +34,13 @@
         for (String key : keys) {
             String change = change(before.get(key), after.get(key));
             if (change != null) {
-                System.out.println(change + " " + key + ": " + touched(key, target));
+                System.out.println(change + " " + key + ": " + affected(key, target));
             }
         }
         return ExitCode.OK;
     }
 
-    /** Names the change of one document, or returns {@code null}. */
+    /** Returns the kind of change of one document; {@code null} if it did not change. */
     private static String change(String before, String after) {
         if (before == null) {
             return "added  ";
@@ -50,8 +51,8 @@
         return before.equals(after) ? null : "changed";
     }
 
-    /** Says which client accounts a document touches. */
-    private static String touched(String key, FleetConfiguration configuration) {
+    /** Describes the client accounts that a document affects. */
+    private static String affected(String key, FleetConfiguration configuration) {
         String name = key.substring(key.indexOf('/') + 1);
         if (key.startsWith("accounts/")) {
             return "client account " + name;
@@ -66,7 +67,7 @@
         return accounts.isEmpty() ? "no client account" : "client accounts " + accounts;
     }
 
-    /** Tells whether a client account may use a service. */
+    /** Returns whether a client account may use a service. */
     private static boolean uses(ClientAccount account, String service) {
         return account.services().stream().anyMatch(id -> id.value().equals(service));
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/ExperimentCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/ExperimentCommand.java
@@ -7,7 +7,7 @@
 import org.apricotstack.bench.experiment.Policy;
 import org.apricotstack.bench.experiment.PolicyExperiment;
 
-/** Compares policies of one group in virtual time. */
+/** Compares the queue policies of one group in virtual time. */
 @Parameters(commandDescription = "Compares queue policies on the same trace in virtual time; prints a table.")
 final class ExperimentCommand extends Command {
 
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/ExplainCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/ExplainCommand.java
@@ -3,8 +3,8 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Shows what a router would decide for a request. */
-@Parameters(commandDescription = "Shows what would be decided for a request, and why, without running it.")
+/** Shows the routing decision for a request without sending it. */
+@Parameters(commandDescription = "Shows the routing decision for a request, and the reasons, without running it.")
 final class ExplainCommand extends AdminCommand {
 
     @Parameter(names = "--account", required = true, description = "The client account.")
@@ -16,7 +16,7 @@
     @Parameter(names = "--prompt-tokens", description = "Length of the prompt in tokens.")
     private long promptTokens = 1_000;
 
-    @Parameter(names = "--output-tokens", description = "Longest answer in tokens.")
+    @Parameter(names = "--output-tokens", description = "Maximum length of the answer in tokens.")
     private long outputTokens = 64;
 
     @Override
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/FleetCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/FleetCommand.java
@@ -2,8 +2,8 @@
 
 import com.beust.jcommander.Parameters;
 
-/** Shows the state of all routers, as one of them gathers it. */
-@Parameters(commandDescription = "Shows the state of all routers on the roster, and which were not heard from.")
+/** Shows the state of all routers, as collected by one of them. */
+@Parameters(commandDescription = "Shows the state of all routers on the roster, and those from which no response came.")
 final class FleetCommand extends AdminCommand {
 
     @Override
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/GenerateTraceCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/GenerateTraceCommand.java
@@ -16,10 +16,12 @@
     @Parameter(names = "--out", required = true, description = "File to write.")
     private String out;
 
-    @Parameter(names = "--deployment", description = "Whose client accounts send it: registry or cooperative.")
+    @Parameter(
+            names = "--deployment",
+            description = "Deployment whose client accounts send the requests: registry or cooperative.")
     private Deployment deployment = Deployment.REGISTRY;
 
-    @Parameter(names = "--seed", description = "The seed.")
+    @Parameter(names = "--seed", description = "Seed of the trace.")
     private long seed = 1;
 
     @Parameter(names = "--requests", description = "Number of requests.")
@@ -32,12 +34,12 @@
     private double longShare = 0.02;
 
     @Parameter(names = "--most-tokens", description = "Length of the longest prompts.")
-    private long mostTokens = 1_000_000;
+    private long maxTokens = 1_000_000;
 
-    @Parameter(names = "--shared-share", description = "Share of prompts with a prefix that others have too.")
+    @Parameter(names = "--shared-share", description = "Share of prompts with a prefix shared with other prompts.")
     private double sharedShare = 0.3;
 
-    @Parameter(names = "--plain-share", description = "Share of plain calls that must not be repeated.")
+    @Parameter(names = "--plain-share", description = "Share of non-idempotent calls to a plain service.")
     private double plainShare = 0.05;
 
     @Override
@@ -47,7 +49,7 @@
                 requests,
                 perSecond,
                 longShare,
-                mostTokens,
+                maxTokens,
                 sharedShare,
                 plainShare,
                 deployment.shape().accountNames(),
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/LostWorthCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/LostValueCommand.java
@@ -6,21 +6,20 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Shows where the value of answers was lost, from collected logs. */
+/** Reports the lost value of answers by prompt length and cause, from collected logs. */
 @Parameters(
-        commandDescription =
-                "Prints where the value of answers was lost, by length of the prompt and cause, the dearest"
-                        + " first, from the logs of all routers; exits 1 if no file has a request.")
-final class LostWorthCommand extends Command {
+        commandDescription = "Prints the lost value of answers by prompt length and cause, largest loss"
+                + " first, from the logs of all routers; exits 1 if no file has a request.")
+final class LostValueCommand extends Command {
 
     @Parameter(required = true, description = "FILE...")
     private List<String> files;
 
     @Override
     int run() {
-        LostWorth lost = LostWorth.read(files.stream().map(Path::of).toList());
+        LostValueReport lost = LostValueReport.read(files.stream().map(Path::of).toList());
         if (lost.isEmpty()) {
-            System.err.println("No file has a request; collect the logs of the routers that took callers.");
+            System.err.println("No file has a request; collect the logs of the active routers.");
             return ExitCode.FAILED;
         }
         System.out.print(lost.describe());
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/Main.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/Main.java
@@ -8,7 +8,7 @@
 import org.apricotstack.core.failure.ApricotException;
 import org.apricotstack.core.failure.ErrorCode;
 
-/** Reads the command line and runs one command. */
+/** Parses the command line and runs one command. */
 public final class Main {
 
     private static final String PROGRAM = "apricot";
@@ -35,17 +35,17 @@
         JCommander parser = JCommander.newBuilder().programName(PROGRAM).build();
         commands.forEach(parser::addCommand);
         CommandHelp help = new CommandHelp(parser);
-        if (help.answers(arguments)) {
+        if (help.handle(arguments)) {
             return ExitCode.OK;
         }
         try {
             parser.parse(arguments);
         } catch (ParameterException e) {
-            return usage(parser, e.getMessage(), help.remedy(arguments));
+            return usage(parser, e.getMessage(), help.suggestion(arguments));
         }
         Command command = commands.get(parser.getParsedCommand());
         if (command == null) {
-            return usage(parser, "A command is missing.", help.remedy(arguments));
+            return usage(parser, "A command is missing.", help.suggestion(arguments));
         }
         if (command.isHelp()) {
             parser.getUsageFormatter().usage(parser.getParsedCommand());
@@ -59,18 +59,18 @@
         }
     }
 
-    /** Says what is wrong with the command line and how to find out what is right. */
-    private static int usage(JCommander parser, String problem, String remedy) {
+    /** Prints the problem of the command line and how to get help. */
+    private static int usage(JCommander parser, String problem, String suggestion) {
         String named = parser.getParsedCommand();
         System.err.println(problem);
         System.err.println(
                 named == null
-                        ? remedy + "Run \"bin/apricot --help\" for the commands."
+                        ? suggestion + "Run \"bin/apricot --help\" for the commands."
                         : "Run \"bin/apricot " + named + " --help\" for the options of this command.");
         return ExitCode.USAGE;
     }
 
-    /** Lists the commands. */
+    /** Creates all commands, indexed by name. */
     private static Map<String, Command> commands() {
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("demo", new DemoCommand());
@@ -89,7 +89,7 @@
         commands.put("measure", new MeasureCommand());
         commands.put("stand-in", new StandInCommand());
         commands.put("trace-request", new TraceRequestCommand());
-        commands.put("lost-worth", new LostWorthCommand());
+        commands.put("lost-worth", new LostValueCommand());
         return commands;
     }
 }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestLife.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestLifecycle.java
@@ -3,11 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.apricotstack.core.engine.PromptValue;
 
-/** What became of one request, put together from its log lines in their order. */
-final class RequestLife {
+/** State and outcome of one request, assembled from its log lines in order. */
+final class RequestLifecycle {
 
-    /** Share of the target beyond which a wait before the first send is the cause of a late first event. */
-    private static final double WAITED_SHARE = 0.3;
+    /**
+     * A longer wait before the first send, as a share of the target, is reported as the cause of a late first event.
+     */
+    private static final double QUEUEING_SHARE = 0.3;
 
     private JsonNode arrived;
     private JsonNode firstSent;
@@ -15,8 +17,8 @@
     private JsonNode end;
     private String firstFailure;
 
-    /** Takes the next line of the request. */
-    void take(JsonNode line) {
+    /** Adds the next log line of the request. */
+    void add(JsonNode line) {
         switch (line.path("event").asText()) {
             case "arrived" -> arrived = line;
             case "sent" -> firstSent = firstSent == null ? line : firstSent;
@@ -25,27 +27,27 @@
                     firstFailure == null ? line.path("kind").asText() : firstFailure;
             case "answered", "streamed", "refused", "caller_left" -> end = line;
             default -> {
-                // Other lines do not decide what the answer was worth.
+                // Other events do not affect the value of the answer.
             }
         }
     }
 
-    /** Tells whether the request passed the checks, so that an answer was owed. */
-    boolean isOwed() {
+    /** Returns whether the request passed validation and admission, so that an answer was expected. */
+    boolean isAdmitted() {
         return arrived != null;
     }
 
-    /** Returns when it arrived, in milliseconds since 1970 by its router's clock. */
+    /** Returns the arrival time in milliseconds since 1970 by the clock of its router. */
     long arrivedMillis() {
         return arrived.path("time").asLong();
     }
 
-    /** Returns the tokens of its prompt; 0 for a plain service. */
+    /** Returns the prompt length in tokens; 0 for a plain service. */
     long promptTokens() {
         return arrived.path("prompt_tokens").asLong();
     }
 
-    /** Values its answer, as the router does that places it. */
+    /** Returns the value of the answer, computed as in the placement decision of a router. */
     double value() {
         return PromptValue.of(promptTokens());
     }
@@ -59,35 +61,35 @@
         return cause.startsWith("late") || cause.startsWith("pause") ? PromptValue.LATE_LOSS_SHARE : 1;
     }
 
-    /** Says why value was lost; {@code null} if none was. */
+    /** Returns why value was lost; {@code null} if none was. */
     String cause() {
         if (end == null) {
-            return "no end: its router stopped or lost lines";
+            return "no end: its router stopped or lost log lines";
         }
         return switch (end.path("event").asText()) {
             case "refused" -> "refused: " + end.path("cause").asText();
             case "caller_left" -> end.hasNonNull("last_event") ? "caller left midway" : "caller left before an answer";
-            default -> causeOfLateness();
+            default -> causeOfDelay();
         };
     }
 
-    /** Says why an answer was late; {@code null} if it was not. */
-    private String causeOfLateness() {
+    /** Returns why an answer was late; {@code null} if it was not. */
+    private String causeOfDelay() {
         long target = arrived.path("target_millis").asLong();
         long first = firstEvent == null ? end.path("took_millis").asLong() : sinceArrival(firstEvent);
         if (target > 0 && first > target) {
-            return "late: " + whyFirstEventIsLate(target);
+            return "late: " + causeOfLateFirstEvent(target);
         }
-        long pause = end.path("longest_pause_millis").asLong();
-        long pauseTarget = arrived.path("pause_target_millis").asLong();
-        if (pauseTarget > 0 && pause > pauseTarget) {
+        long tokenGap = end.path("longest_pause_millis").asLong();
+        long tokenGapTarget = arrived.path("pause_target_millis").asLong();
+        if (tokenGapTarget > 0 && tokenGap > tokenGapTarget) {
             return firstFailure == null ? "pause: its engine was busy" : "pause: moved after " + firstFailure;
         }
         return null;
     }
 
-    /** Says why a first event came after the target. */
-    private String whyFirstEventIsLate(long targetMillis) {
+    /** Returns why the first event missed its target. */
+    private String causeOfLateFirstEvent(long targetMillis) {
         if (firstFailure != null) {
             return "sent again after " + firstFailure;
         }
@@ -95,14 +97,14 @@
             return "slow upstream";
         }
         long waited = sinceArrival(firstSent);
-        if (waited > targetMillis * WAITED_SHARE) {
+        if (waited > targetMillis * QUEUEING_SHARE) {
             return "waited for room";
         }
-        boolean foreseen = waited + firstSent.path("predicted_millis").asLong() > targetMillis;
-        return foreseen ? "so predicted" : "predicted in time";
+        boolean predictedLate = waited + firstSent.path("predicted_millis").asLong() > targetMillis;
+        return predictedLate ? "so predicted" : "predicted in time";
     }
 
-    /** Returns the time from the arrival to a line. */
+    /** Returns the time from the arrival to a log line, in milliseconds. */
     private long sinceArrival(JsonNode line) {
         return line.path("time").asLong() - arrivedMillis();
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestTrace.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestTrace.java
@@ -11,39 +11,39 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The life of one request, read from the log lines of routers.
+ * The log lines of one request and the state of its upstreams at that time, from the logs of routers.
  *
- * <p>A request is served by one router, so its lines carry one clock. Beside them stand the lines on what that router
- * believed of the upstreams that the request used, from a second before it arrived until it ended. If upstreams ended
- * under the same content, also in other attempts at other routers, these lines follow, each with its router's name and
- * clock.
+ * <p>A request is served by one router, so its lines share one clock. They are interleaved with the lines in which that
+ * router logged state changes of the upstreams that the request used, from one second before the arrival to the end. If
+ * upstreams crashed under the same content, also in other attempts at other routers, these lines follow, each with the
+ * name and the clock of its router.
  */
 final class RequestTrace {
 
-    /** What was believed this long before the request still decided about it, in milliseconds. */
+    /** State changes up to this long before the arrival can affect the request, in milliseconds. */
     private static final long BEFORE_MILLIS = 1_000;
 
     private static final Comparator<JsonNode> BY_TIME =
             Comparator.comparingLong(line -> line.path("time").asLong());
 
-    /** Fields that each line has and that are not repeated. */
+    /** Fields that every line has and that are not printed. */
     private static final Set<String> COMMON = Set.of("time", "host", "event", "request");
 
     private final List<JsonNode> lines;
     private final List<JsonNode> sameContent;
 
-    /** Creates a trace of lines in their order. */
+    /** Creates a trace of lines in the order of time. */
     private RequestTrace(List<JsonNode> lines, List<JsonNode> sameContent) {
         this.lines = lines;
         this.sameContent = sameContent;
     }
 
     /**
-     * Reads a trace.
+     * Reads the trace of a request.
      *
      * @param request the request's id
-     * @param files collected logs; text before the JSON object of a line is passed over
-     * @return the trace, without lines if no file knows the request
+     * @param files collected logs; text before the JSON object of a line is skipped
+     * @return the trace, empty if no file contains the request
      */
     static RequestTrace read(String request, List<Path> files) {
         List<JsonNode> all = CollectedLogs.read(files);
@@ -54,12 +54,12 @@
             return new RequestTrace(own, List.of());
         }
         List<JsonNode> sameContent = sameContent(all, own);
-        own.addAll(beliefs(all, own));
+        own.addAll(upstreamStates(all, own));
         own.sort(BY_TIME);
         return new RequestTrace(own, sameContent);
     }
 
-    /** Finds what all routers wrote of the content of a request, if an upstream ended under it or it was refused so. */
+    /** Finds the lines of all routers on the content of a request, if it crashed an upstream or was refused. */
     private static List<JsonNode> sameContent(List<JsonNode> all, List<JsonNode> own) {
         Set<String> contents = new HashSet<>();
         own.stream()
@@ -73,8 +73,8 @@
                 .toList();
     }
 
-    /** Finds what the routers of a request believed meanwhile. */
-    private static List<JsonNode> beliefs(List<JsonNode> all, List<JsonNode> own) {
+    /** Finds the state changes of upstreams that the router of a request logged meanwhile. */
+    private static List<JsonNode> upstreamStates(List<JsonNode> all, List<JsonNode> own) {
         Set<String> upstreams = new HashSet<>();
         for (JsonNode line : own) {
             upstreams.add(line.path("upstream").asText());
@@ -94,17 +94,16 @@
     }
 
     /**
-     * Tells whether no file knows the request.
+     * Returns whether no file contains the request.
      *
-     * @return whether there are no lines
+     * @return whether the trace is empty
      */
     boolean isEmpty() {
         return lines.isEmpty();
     }
 
     /**
-     * Writes the trace: a line for each event, with the milliseconds since the arrival, then a first guess of the
-     * cause.
+     * Formats the trace: one line for each event, with the milliseconds since the arrival, then the likely cause.
      *
      * @return the text
      */
@@ -128,10 +127,10 @@
                     line.path("host").asText() + " " + line.path("request").asText();
             describe(line, arrival, name.trim() + " ", text);
         }
-        return text.append("first guess: ").append(guess()).append('\n').toString();
+        return text.append("first guess: ").append(likelyCause()).append('\n').toString();
     }
 
-    /** Writes one line. */
+    /** Formats one line. */
     private static void describe(JsonNode line, long arrivalMillis, String mark, StringBuilder text) {
         text.append(String.format("%+7d ms  ", line.path("time").asLong() - arrivalMillis))
                 .append(mark)
@@ -147,8 +146,8 @@
         text.append('\n');
     }
 
-    /** Guesses why the request ended as it did. */
-    private String guess() {
+    /** Derives the likely cause of the outcome from the last event and the last failure. */
+    private String likelyCause() {
         JsonNode end = null;
         String failure = "";
         for (JsonNode line : lines) {
@@ -169,9 +168,10 @@
             case "answered", "streamed" -> "served with status "
                     + end.path("status").asText() + " in "
                     + end.path("took_millis").asText()
-                    + " ms, longest pause " + end.path("longest_pause_millis").asText() + " ms" + failure;
+                    + " ms, longest token gap "
+                    + end.path("longest_pause_millis").asText() + " ms" + failure;
             default -> "the log ends with " + end.path("event").asText()
-                    + "; look whether the process was stopped or lines were dropped";
+                    + "; check whether the process was stopped or lines were dropped";
         };
     }
 }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/RouterCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/RouterCommand.java
@@ -9,7 +9,7 @@
 import org.apricotstack.router.Router;
 import org.apricotstack.router.RouterRuntime;
 
-/** Runs a router until it is stopped; a signal to end starts a graceful stop. */
+/** Runs a router until it is stopped; SIGTERM starts a graceful stop. */
 @Parameters(commandDescription = "Runs a router until it is stopped; SIGTERM starts a graceful stop.")
 final class RouterCommand extends Command {
 
@@ -18,7 +18,7 @@
 
     @Parameter(
             names = "--stop-seconds",
-            description = "Longest time that a graceful stop may take before the process ends all the same.")
+            description = "Maximum time of a graceful stop, after which the process exits anyway.")
     private long stopSeconds = 300;
 
     @Override
@@ -30,7 +30,7 @@
         return ExitCode.OK;
     }
 
-    /** Stops gracefully within the allowed time. */
+    /** Drains the router, and closes it when it is drained or the time is up. */
     private void stop(Router router) {
         router.drain();
         router.ended()
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/StandInCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/StandInCommand.java
@@ -19,11 +19,11 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Runs a stand-in for a system that routers talk to. */
+/** Runs a simulated platform, engine or plain service. */
 @Parameters(commandDescription = "Runs a stand-in: platform, engine or service.")
 final class StandInCommand extends Command {
 
-    private static final Duration LOOK = Duration.ofMillis(500);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
     @Parameter(required = true, description = "platform|engine|service")
     private List<Kind> kinds;
@@ -40,20 +40,20 @@
     @Parameter(names = "--roster", description = "platform: file with the roster; changes are published.")
     private String roster;
 
-    @Parameter(names = "--pace", description = "engine: how much faster than modelled it runs.")
+    @Parameter(names = "--pace", description = "engine: speed relative to the model.")
     private double pace = 1;
 
-    @Parameter(names = "--ignores-fencing", description = "engine: takes orders with an old fencing number.")
+    @Parameter(names = "--ignores-fencing", description = "engine: accepts orders with an outdated fencing number.")
     private boolean ignoresFencing;
 
-    @Parameter(names = "--delay-millis", description = "service: time that a call takes.")
+    @Parameter(names = "--delay-millis", description = "service: duration of a call.")
     private long delayMillis = 5;
 
     /** Kinds of stand-ins. */
     enum Kind {
-        /** The platform's documents. */
+        /** The platform, which serves configuration and roster documents. */
         PLATFORM,
-        /** A model engine. */
+        /** An engine that runs a language model. */
         ENGINE,
         /** A plain service. */
         SERVICE
@@ -79,30 +79,30 @@
         }
     }
 
-    /** Runs the platform and publishes its files whenever they change. */
+    /** Runs the platform and publishes the files whenever they change. */
     private void platform(Address address) {
         StandInPlatform platform = new StandInPlatform(address);
-        Published configurationFile = new Published(ReplicationTopic.CONFIGURATION, configuration);
-        Published rosterFile = new Published(ReplicationTopic.ROSTER, roster);
-        Flux.interval(Duration.ZERO, LOOK).onBackpressureDrop().subscribe(tick -> {
-            configurationFile.publishChanges(platform);
-            rosterFile.publishChanges(platform);
+        PublishedFile configurationDocuments = new PublishedFile(ReplicationTopic.CONFIGURATION, configuration);
+        PublishedFile rosterDocuments = new PublishedFile(ReplicationTopic.ROSTER, roster);
+        Flux.interval(Duration.ZERO, POLL_INTERVAL).onBackpressureDrop().subscribe(tick -> {
+            configurationDocuments.publishChanges(platform);
+            rosterDocuments.publishChanges(platform);
         });
     }
 
-    /** One file that is published. */
-    private static final class Published {
+    /** A file that is published on a topic. */
+    private static final class PublishedFile {
         private final ReplicationTopic topic;
         private final String file;
         private Map<String, String> last = Map.of();
 
-        /** Creates a file that was not published yet. */
-        private Published(ReplicationTopic topic, String file) {
+        /** Creates a file that has not been published yet. */
+        private PublishedFile(ReplicationTopic topic, String file) {
             this.topic = topic;
             this.file = file;
         }
 
-        /** Publishes what has changed in the file. */
+        /** Publishes the documents that have changed since the last call. */
         private void publishChanges(StandInPlatform platform) {
             if (file == null) {
                 return;
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/TraceRequestCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/TraceRequestCommand.java
@@ -6,13 +6,14 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Shows the life of one request from collected logs. */
+/** Prints the trace of one request from collected logs. */
 @Parameters(
-        commandDescription = "Prints what happened to one request, with what its router believed meanwhile (marked *)"
-                + " and a first guess of the cause; exits 1 if no file knows the request.")
+        commandDescription =
+                "Prints the log lines of one request, with changes to the state of its upstreams (marked *)"
+                        + " and the likely cause; exits 1 if no file contains the request.")
 final class TraceRequestCommand extends Command {
 
-    @Parameter(names = "--request", required = true, description = "the request's id")
+    @Parameter(names = "--request", required = true, description = "The id of the request.")
     private String request;
 
     @Parameter(required = true, description = "FILE...")
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/CapacityPageTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/CapacityPageTest.java
@@ -19,11 +19,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The page on capacity names mechanisms that exist, and figures that stand in the files that it cites. */
+/** The capacity page only names classes that exist, and figures that are in the measurement files it cites. */
 class CapacityPageTest {
 
     private static final Path DOCS = Path.of("..", "docs");
-    private static final Pattern MECHANISM = Pattern.compile("`([a-z]+(?:\\.[a-z]+)*\\.[A-Z][A-Za-z]+)`");
+    private static final Pattern CLASS_NAME = Pattern.compile("`([a-z]+(?:\\.[a-z]+)*\\.[A-Z][A-Za-z]+)`");
     private static final Pattern FIGURE =
             Pattern.compile("`([a-z0-9-]+)/(slope|intercept|median|most|least|r2)=([^`]+)`");
 
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void namesMechanismsThatExist() throws IOException {
-        Matcher names = MECHANISM.matcher(page());
+    void namesExistingClasses() throws IOException {
+        Matcher names = CLASS_NAME.matcher(page());
         Set<String> checked = new HashSet<>();
         while (names.find()) {
             String name = "org.apricotstack." + names.group(1);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void citesFiguresThatWereMeasured() throws IOException {
+    void citesMeasuredFigures() throws IOException {
         List<CSVRecord> slopes = new ArrayList<>();
         for (String file : List.of("state", "control", "news", "suspects", "limits", "drains")) {
             Path path = DOCS.resolve("measurements").resolve(file + "-slopes.csv");
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"660", "5,500", "44,000", "45,000", "2,100", "5,300", "2.1%", "256 MB", "2 KB"})
-    void answersForTheTarget(String figure) throws IOException {
+    void statesTheFiguresForTheTargetSize(String figure) throws IOException {
         assertThat(page()).contains(figure);
     }
 }
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/LiveCommandsTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/LiveCommandsTest.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The commands for operators against routers that run. */
+/** Runs the admin commands against running routers. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class LiveCommandsTest {
 
@@ -40,9 +40,8 @@
     }
 
     /**
-     * Symptom: wait-in-force never ends with success, although the version is in force everywhere.
-     *
-     * <p>Cause: it waited for the answer of a router on a thread that may not wait, and took the error for silence.
+     * Guards against a wait-in-force that never succeeds although the version is in force everywhere: it blocked on a
+     * thread that does not allow blocking calls, and treated the resulting error as a router that does not respond.
      */
     @Test
     void waitsUntilAVersionIsInForce() {
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/LostWorthTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/LostValueReportTest.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LostWorthTest {
+class LostValueReportTest {
 
     private static final String ARRIVED = "{'time':1000,'host':'h','event':'arrived','request':'r','target_millis':300,"
             + "'pause_target_millis':250,'prompt_tokens':5000}";
@@ -38,13 +38,14 @@
                 "1200 | 20 | 1500 | 60 | to 10^4   late: waited for room",
                 "1010 | 20 | 1100 | 400 | to 10^4   pause: its engine was busy"
             })
-    void saysWhyAnAnswerWasLate(long sent, long predicted, long first, long pause, String cause) throws IOException {
+    void reportsTheCauseOfALateAnswer(long sent, long predicted, long first, long tokenGap, String cause)
+            throws IOException {
         Path file = log(
                 ARRIVED,
                 line(sent, "sent", ",'predicted_millis':" + predicted),
                 line(first, "first_event", ""),
-                line(3_000, "streamed", ",'status':200,'took_millis':2000,'longest_pause_millis':" + pause));
-        String text = LostWorth.read(List.of(file)).describe();
+                line(3_000, "streamed", ",'status':200,'took_millis':2000,'longest_pause_millis':" + tokenGap));
+        String text = LostValueReport.read(List.of(file)).describe();
         if (cause.equals("nothing")) {
             assertThat(text).contains("1 requests").doesNotContain("late", "pause");
         } else {
@@ -61,13 +62,15 @@
                 "caller_left |  | caller left before an answer",
                 "first_event |  | no end"
             })
-    void saysWhyThereWasNoAnswer(String event, String fields, String cause) throws IOException {
+    void reportsTheCauseOfAMissingAnswer(String event, String fields, String cause) throws IOException {
         Path file = log(ARRIVED, line(1_010, "sent", ""), line(1_100, event, fields == null ? "" : fields));
-        assertThat(LostWorth.read(List.of(file)).describe()).contains(cause).contains("100.00%");
+        assertThat(LostValueReport.read(List.of(file)).describe())
+                .contains(cause)
+                .contains("100.00%");
     }
 
     @Test
-    void isACommandWithDocumentedExitCodes() throws IOException {
+    void commandReturnsDocumentedExitCodes() throws IOException {
         assertThat(MainTest.run("lost-worth", log(ARRIVED).toString())).startsWith("0 1 requests");
         assertThat(MainTest.run("lost-worth", log("{}").toString())).startsWith("1 No file has a request");
         assertThat(MainTest.run("lost-worth", "/nowhere")).startsWith("3 Cannot read");
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/MainTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/MainTest.java
@@ -19,7 +19,7 @@
 
     private static final Path EXAMPLES = Path.of("..", "examples");
 
-    /** Runs a command line and returns exit code and what was printed. */
+    /** Runs a command line; returns the exit code and the printed text. */
     static String run(String... arguments) {
         PrintStream out = System.out;
         PrintStream err = System.err;
@@ -59,14 +59,14 @@
                 "status --address 127.0.0.1:1|3 No answer from 127.0.0.1:1",
                 "demo --help|0 Runs a whole deployment"
             })
-    void saysWhatIsWrongAndEndsWithTheDocumentedCode(String line, String start) {
+    void reportsTheProblemAndReturnsTheDocumentedExitCode(String line, String start) {
         String expected = start.substring(2);
         String result = run(line.split(" "));
         assertThat(result).startsWith(start.substring(0, 1)).contains(expected);
     }
 
     @Test
-    void listsAllCommandsWithALineEachIfNothingIsAsked() {
+    void listsAllCommandsWithoutArguments() {
         String listed = run();
         assertThat(listed).startsWith("0 ");
         assertThat(listed.lines().filter(line -> line.startsWith("  ")))
@@ -74,7 +74,7 @@
                 .allMatch(line -> line.strip().split(" +", 2).length == 2);
     }
 
-    /** Settings files of the examples. */
+    /** Returns the settings files of the examples. */
     static Stream<Path> settings() {
         return Stream.of("registry", "cooperative").flatMap(name -> IntStream.rangeClosed(1, 6)
                 .mapToObj(number -> EXAMPLES.resolve(name).resolve("router-" + number + ".json")));
@@ -82,13 +82,13 @@
 
     @ParameterizedTest
     @MethodSource("settings")
-    void canUseTheExampleSettings(Path file) {
+    void acceptsTheExampleSettings(Path file) {
         assertThat(run("check", "--settings", file.toString())).startsWith("0 ").contains("can be used");
     }
 
     @ParameterizedTest
     @CsvSource({"registry, 17 upstreams", "cooperative, 19 upstreams"})
-    void canPublishTheExampleConfigurations(String name, String size) {
+    void acceptsTheExampleConfigurations(String name, String size) {
         String file = EXAMPLES.resolve(name).resolve("configuration.json").toString();
         assertThat(run("check-configuration", file)).startsWith("0 ").contains(size);
         assertThat(run("diff-configuration", file, file)).isEqualTo("0 ");
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/RequestTraceTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/RequestTraceTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void showsWhatTheRouterBelievedOfTheUpstreamsThatWereUsed() {
+    void showsStateChangesOfTheUpstreamsUsed() {
         String text = RequestTrace.read("r1", List.of(file)).describe();
         assertThat(text)
                 .contains("-200 ms  * platform_lost problem=reset")
@@ -60,9 +60,9 @@
                 .contains("host host-1");
     }
 
-    /** Whoever looks at a refused repeat has to see which upstreams ended under the attempts before it, and where. */
+    /** A trace of a refused retry has to show which upstreams crashed under earlier attempts, and at which router. */
     @Test
-    void showsWhatAllRoutersWroteOfTheSameContent() {
+    void showsLinesOfAllRoutersOnTheSameContent() {
         String text = RequestTrace.read("r5", List.of(file)).describe();
         assertThat(text)
                 .contains("the same content at all routers")
@@ -80,12 +80,12 @@
                 "r2 | the caller left in the middle of the stream",
                 "r3 | the log ends with arrived"
             })
-    void guessesTheCause(String request, String guess) {
+    void reportsTheLikelyCause(String request, String guess) {
         assertThat(RequestTrace.read(request, List.of(file)).describe()).contains("first guess: " + guess);
     }
 
     @Test
-    void isACommandWithDocumentedExitCodes() {
+    void commandReturnsDocumentedExitCodes() {
         assertThat(MainTest.run("trace-request", "--request", "r1", file.toString()))
                 .startsWith("0 host host-1");
         assertThat(MainTest.run("trace-request", "--request", "nobody", file.toString()))
