--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/Demonstration.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/Demonstration.java
@@ -47,7 +47,7 @@
      * @return whether every request ended as expected and no non-idempotent call ran twice
      */
     public boolean run(int requests, double perSecond, long seed) {
-        EngineSpeed speed = EngineSpeed.USUAL;
+        EngineSpeed speed = EngineSpeed.DEFAULT;
         out.println("Starting " + shape.name() + ": "
                 + shape.engines().stream().mapToInt(Integer::intValue).sum()
                 + " engines, " + shape.routers() * shape.dataCentres().size() + " routers, "
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/AnswerText.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/AnswerText.java
@@ -5,7 +5,7 @@
 import com.google.common.hash.Hashing;
 
 /**
- * The expected answer to a prompt, a function of the prompt alone that all stand-in engines compute alike. A client
+ * The expected answer to a prompt, which all stand-in engines derive from the prompt only. A client
  * can therefore detect truncated, mixed-up and duplicated answers.
  */
 public final class AnswerText {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineSpeed.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/EngineSpeed.java
@@ -17,7 +17,7 @@
         double decodeMicrosPerStream) {
 
     /** An engine with memory for 400,000 tokens that prefills about 80,000 tokens per second. */
-    public static final EngineSpeed USUAL = new EngineSpeed(400_000, 4_096, 4_000, 10, 60);
+    public static final EngineSpeed DEFAULT = new EngineSpeed(400_000, 4_096, 4_000, 10, 60);
 
     private static final double MICROS_PER_MILLI = 1_000;
 
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/StandInEngine.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/engine/StandInEngine.java
@@ -241,7 +241,7 @@
      * @param order the order as JSON
      * @return whether the engine accepted it
      */
-    public boolean giveOrder(String order) {
+    public boolean sendOrder(String order) {
         try {
             return state.order(Json.STRICT.readTree(order));
         } catch (IOException e) {
@@ -254,7 +254,7 @@
      *
      * @return the numbers
      */
-    public List<Long> ordersTaken() {
+    public List<Long> acceptedFencingNumbers() {
         return state.accepted();
     }
 
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/PolicyExperiment.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/PolicyExperiment.java
@@ -84,7 +84,7 @@
 
     /** Creates an idle group. */
     private static VirtualGroup group(Policy policy) {
-        return new VirtualGroup(policy, FleetLimits.DEFAULT, EngineSpeed.USUAL, ENGINES);
+        return new VirtualGroup(policy, FleetLimits.DEFAULT, EngineSpeed.DEFAULT, ENGINES);
     }
 
     /** Measures the capacity, in requests per second, with all requests queued at the start and none refused. */
@@ -101,7 +101,7 @@
                 Long.MAX_VALUE,
                 1,
                 0);
-        VirtualGroup group = new VirtualGroup(Policy.FIRST_COME_PRIORITIES, unbounded, EngineSpeed.USUAL, ENGINES);
+        VirtualGroup group = new VirtualGroup(Policy.FIRST_COME_PRIORITIES, unbounded, EngineSpeed.DEFAULT, ENGINES);
         List<VirtualResult> results = group.run(all, REQUESTS, MAX_MILLIS);
         long completed = results.stream()
                 .filter(result -> result.end() == VirtualResult.End.COMPLETED)
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
@@ -58,7 +58,7 @@
         Timings defaults = Timings.DEFAULT;
         return new LocalDeployment(
                 shape,
-                EngineSpeed.USUAL,
+                EngineSpeed.DEFAULT,
                 1,
                 new Timings(
                         defaults.probeMillis(),
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/FleetModel.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/FleetModel.java
@@ -50,7 +50,7 @@
         }
         Address address = new Address("10.0.0.1", 8_000);
         for (int r = 0; r < replicas; r++) {
-            String engine = DeploymentDocuments.engine("x", address, EngineSpeed.USUAL, true);
+            String engine = DeploymentDocuments.engine("x", address, EngineSpeed.DEFAULT, true);
             documents.put(
                     "upstreams/replica-" + r,
                     engine.replace("\"" + DeploymentDocuments.MODEL + "-x\"", "\"group-" + r / GROUP_REPLICAS + "\""));
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceRecord.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/trace/TraceRecord.java
@@ -10,7 +10,7 @@
  * @param outputTokens length of the answer; 0 for a plain call
  * @param hashIds one hash for each block of {@link #BLOCK_TOKENS} prompt tokens; equal hashes denote equal blocks
  * @param account the client account that sends it
- * @param service the service that it asks for
+ * @param service the service that it calls
  * @param repeatable whether it may be retried without a ticket
  * @param timeLimitMillis its time limit; 0 for the default of the service
  * @param expected the expected outcome
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/BadRequestsTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/BadRequestsTest.java
@@ -33,7 +33,7 @@
 
     @BeforeAll
     void start() {
-        deployment = new LocalDeployment(SHAPE, EngineSpeed.USUAL, 10);
+        deployment = new LocalDeployment(SHAPE, EngineSpeed.DEFAULT, 10);
     }
 
     @AfterAll
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/EagerSpreadTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/EagerSpreadTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void distributesAChangeWithoutWaitingForPeriodicProbes() {
-        try (LocalDeployment deployment = new LocalDeployment(SHAPE, EngineSpeed.USUAL, 1, RARE_PROBES)) {
+        try (LocalDeployment deployment = new LocalDeployment(SHAPE, EngineSpeed.DEFAULT, 1, RARE_PROBES)) {
             for (int i = 0; i < 5; i++) {
                 long version = deployment.publishAndAwait("presets/extra-" + i);
                 assertThat(deployment.routers().values()).allMatch(router -> router.configurationVersion() >= version);
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/LoopbackFaultsTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/deployment/LoopbackFaultsTest.java
@@ -151,8 +151,8 @@
         LocalDeployment.await("all engines load the new revision", () -> deployment.engines().values().stream()
                 .allMatch(engine -> engine.revision().equals("r2")));
         String old = "{\"model\":\"general\",\"revision\":\"r1\",\"adapters\":[],\"role\":\"mixed\",\"fencing\":1}";
-        assertThat(deployment.engines().get("engine-dc-a-1").giveOrder(old)).isFalse();
-        assertThat(deployment.engines().get("engine-dc-a-2").giveOrder(old)).isTrue();
+        assertThat(deployment.engines().get("engine-dc-a-1").sendOrder(old)).isFalse();
+        assertThat(deployment.engines().get("engine-dc-a-2").sendOrder(old)).isTrue();
         LocalDeployment.await(
                 "the engine that ignores fencing is ordered again",
                 () -> deployment.engines().get("engine-dc-a-2").revision().equals("r2"));
--- a/apricotstack-bench/src/test/java/org/apricotstack/bench/measure/PlacementGossipTest.java
+++ b/apricotstack-bench/src/test/java/org/apricotstack/bench/measure/PlacementGossipTest.java
@@ -20,7 +20,7 @@
     private static final int STRONG_PERCENT = 150;
     private static final int SMALL_PERCENT = 36;
 
-    /** Number of active routers in this fleet. */
+    /** Minimum number of active routers of a data centre, plus one in reserve. */
     private static final int ACTIVE = 5;
 
     /** Number of requests within one heartbeat interval that reliably exceeds one request in two seconds. */
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/ReplayCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/ReplayCommand.java
@@ -37,7 +37,7 @@
         List<Address> addresses = entries.stream().map(Address::parse).toList();
         try (ReplayCaller caller = new ReplayCaller(addresses, Duration.ofSeconds(waitSeconds))) {
             List<ReplayResult> results = Replay.run(TraceFiles.read(Path.of(trace)), caller, speed, result -> {});
-            ReplayReport report = new ReplayReport(results, FleetLimits.DEFAULT, EngineSpeed.USUAL, 1);
+            ReplayReport report = new ReplayReport(results, FleetLimits.DEFAULT, EngineSpeed.DEFAULT, 1);
             System.out.println(report.table());
             return report.unexpected().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
         }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestLifecycle.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/RequestLifecycle.java
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Returns whether the request passed validation and admission, so that an answer was expected. */
+    /** Returns whether the request passed validation, so that an answer was expected. */
     boolean isAdmitted() {
         return arrived != null;
     }
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/StandInCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/StandInCommand.java
@@ -74,7 +74,7 @@
     private void start(Address address, StandInService.Ledger ledger) {
         switch (kinds.get(0)) {
             case PLATFORM -> platform(address);
-            case ENGINE -> new StandInEngine(address, EngineSpeed.USUAL, pace, !ignoresFencing);
+            case ENGINE -> new StandInEngine(address, EngineSpeed.DEFAULT, pace, !ignoresFencing);
             default -> new StandInService(address, ledger, Duration.ofMillis(delayMillis));
         }
     }
--- a/apricotstack-cli/src/test/java/org/apricotstack/cli/LiveCommandsTest.java
+++ b/apricotstack-cli/src/test/java/org/apricotstack/cli/LiveCommandsTest.java
@@ -23,7 +23,7 @@
     @BeforeAll
     void start() {
         deployment = new LocalDeployment(
-                new DeploymentShape("test", List.of("dc-a"), List.of(1), 1, 2, 2, 0.5), EngineSpeed.USUAL, 1);
+                new DeploymentShape("test", List.of("dc-a"), List.of(1), 1, 2, 2, 0.5), EngineSpeed.DEFAULT, 1);
     }
 
     @AfterAll
