--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
@@ -23,14 +23,14 @@
     private static final Pattern DECIMAL = Pattern.compile("\\d{1,30}(\\.\\d{0,30})?([eE][+-]?\\d{1,9})?");
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Whether a response requests a back-off. */
+    /** Whether a response requests a back-off. The names of the constants are part of metric names. */
     public enum Kind {
         /** No back-off is requested. */
         ABSENT,
         /** The value is not a duration in seconds. */
         UNREADABLE,
-        /** A back-off is requested. */
-        PRESENT
+        /** A back-off is requested. The name is part of a metric name, {@code back_offs.stated}. */
+        STATED
     }
 
     /**
@@ -56,6 +56,6 @@
             return UNREADABLE;
         }
         long millis = (long) Math.min(MAX_MILLIS, Math.ceil(greatest * MILLIS_PER_SECOND));
-        return millis == 0 ? ABSENT : new AdvertisedBackOff(Kind.PRESENT, millis);
+        return millis == 0 ? ABSENT : new AdvertisedBackOff(Kind.STATED, millis);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/AdvertisedLimit.java
@@ -29,7 +29,7 @@
         /** The value is not a valid limit. */
         UNREADABLE,
         /** A limit is advertised. */
-        PRESENT
+        STATED
     }
 
     /**
@@ -56,6 +56,6 @@
         if (!readable) {
             return UNREADABLE;
         }
-        return least < MAX_PER_SECOND ? new AdvertisedLimit(Kind.PRESENT, least) : ABSENT;
+        return least < MAX_PER_SECOND ? new AdvertisedLimit(Kind.STATED, least) : ABSENT;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
@@ -43,7 +43,7 @@
         return switch (advertised.kind()) {
             case ABSENT -> ended(upstream, sentMillis);
             case UNREADABLE -> LimitChange.NONE;
-            case PRESENT -> advertised(upstream, advertised.perSecond(), sentMillis, nowMillis);
+            case STATED -> advertised(upstream, advertised.perSecond(), sentMillis, nowMillis);
         };
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/AdvertisedLimitTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/AdvertisedLimitTest.java
@@ -23,7 +23,7 @@
     @ParameterizedTest
     @CsvSource({"1.7, 1.7", "0, 0", "0.0, 0", "100, 100", " 3 , 3", "5., 5", "1e2, 100", "0.3, 0.3"})
     void parsesADecimalNumber(String value, double perSecond) {
-        assertThat(parse(value)).isEqualTo(new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond));
+        assertThat(parse(value)).isEqualTo(new AdvertisedLimit(AdvertisedLimit.Kind.STATED, perSecond));
     }
 
     @ParameterizedTest
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
@@ -38,7 +38,7 @@
 
     private void advertise(double perSecond) {
         table.answerReceived(
-                UPSTREAM, new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond), nowMillis - 1, nowMillis);
+                UPSTREAM, new AdvertisedLimit(AdvertisedLimit.Kind.STATED, perSecond), nowMillis - 1, nowMillis);
     }
 
     private void acquire(int requests) {
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
@@ -218,7 +218,7 @@
             }
             AdvertisedLimit advertised = now() < ADVERTISED_FROM_MILLIS
                     ? AdvertisedLimit.ABSENT
-                    : new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, scenario.perSecond());
+                    : new AdvertisedLimit(AdvertisedLimit.Kind.STATED, scenario.perSecond());
             if (table.answerReceived(UPSTREAM, advertised, sentMillis, now()) == LimitChange.BEGAN) {
                 RateLimit limit = table.find(UPSTREAM);
                 messages += routers.size() - 1;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
@@ -12,7 +12,7 @@
     private final LimitTable table = new LimitTable();
 
     private static AdvertisedLimit of(double perSecond) {
-        return new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, perSecond);
+        return new AdvertisedLimit(AdvertisedLimit.Kind.STATED, perSecond);
     }
 
     @Test
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -248,7 +248,7 @@
         if (answer.notice().drain() == AdvertisedDrain.DRAINING) {
             return FailureKind.DRAINING;
         }
-        boolean asks = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
+        boolean asks = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.STATED;
         return asks ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -22,7 +22,7 @@
             return;
         }
         context.metrics().backOff(stated.kind());
-        if (stated.kind() == AdvertisedBackOff.Kind.PRESENT
+        if (stated.kind() == AdvertisedBackOff.Kind.STATED
                 && table.backOffRequested(upstream, stated.millis(), context.nowMillis())) {
             DecisionLog.Line line = requestId == null
                     ? context.log().line("back_off_began")
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -97,7 +97,7 @@
         private boolean taken(Consumer<UpstreamNotice> heard) {
             orders++;
             heard.accept(new UpstreamNotice(
-                    new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
+                    new AdvertisedLimit(AdvertisedLimit.Kind.STATED, 2),
                     AdvertisedDrain.ABSENT,
                     AdvertisedBackOff.ABSENT));
             return true;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -230,7 +230,7 @@
     void readsALimitInAReport() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
-                new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
+                new AdvertisedLimit(AdvertisedLimit.Kind.STATED, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
         check.reason(ALONE, false).block();
         assertThat(limits.find(ENGINE.id()).perSecond()).isEqualTo(3);
     }
@@ -239,7 +239,7 @@
     void takesAnEngineForBusyThatAskedForABackOffAndDoesNotAskIt() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
-        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
+        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.STATED, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
         assertThat(gated.gone(ENGINE).block()).isFalse();
