--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/ReservedHelpersTest.java
@@ -97,7 +97,7 @@
         private boolean accept(Consumer<UpstreamNotice> onNotice) {
             calls++;
             onNotice.accept(new UpstreamNotice(
-                    new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 2),
+                    new AdvertisedLimit(AdvertisedLimit.Kind.STATED, 2),
                     AdvertisedDrain.ABSENT,
                     AdvertisedBackOff.ABSENT));
             return true;
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -229,7 +229,7 @@
     void appliesTheLimitInAStatusReport() {
         report = Mono.just(new EngineCalls.Report(1, 0, 1));
         notice = new UpstreamNotice(
-                new AdvertisedLimit(AdvertisedLimit.Kind.PRESENT, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
+                new AdvertisedLimit(AdvertisedLimit.Kind.STATED, 3), AdvertisedDrain.ABSENT, AdvertisedBackOff.ABSENT);
         check.cause(ALONE, false).block();
         assertThat(limits.find(ENGINE.id()).perSecond()).isEqualTo(3);
     }
@@ -238,7 +238,7 @@
     void assumesAnEngineInBackOffIsBusyWithoutAQuery() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
-        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
+        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.STATED, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
         assertThat(gated.isDead(ENGINE).block()).isFalse();
