--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminServer.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/admin/AdminServer.java
@@ -114,7 +114,7 @@
                             Long.parseLong(one(parameters, "outputTokens")))));
         } catch (IllegalArgumentException | ApricotException e) {
             return response.status(BAD_REQUEST)
-                    .sendString(Mono.just("State the parameters account, service, promptTokens and outputTokens."));
+                    .sendString(Mono.just("Give account, service, promptTokens and outputTokens."));
         }
     }
 
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionScan.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/CompletionScan.java
@@ -47,7 +47,7 @@
         try (JsonParser parser = FACTORY.createParser(body)) {
             return new Scanner(parser, body).scan();
         } catch (IOException e) {
-            throw invalid("The body is not valid JSON.");
+            throw invalid("The body is no JSON.");
         }
     }
 
@@ -82,13 +82,13 @@
                 field(parser.currentName());
             }
             if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
-                throw invalid("The body must be one JSON object with nothing after it.");
+                throw invalid("The body must be one JSON object and nothing after it.");
             }
             if (model == null) {
                 throw invalid("The field \"model\" must name a service.");
             }
             if (promptTokens < 1) {
-                throw invalid("The field \"prompt\" must be a non-empty string or list of token ids.");
+                throw invalid("The field \"prompt\" must be a text or a list of token numbers, not empty.");
             }
             return new CompletionScan(model, promptTokens, maxTokens, stream, fingerprints());
         }
@@ -127,10 +127,10 @@
                 }
                 promptEnd = parser.currentLocation().getByteOffset() - 1;
                 if (parser.currentToken() != JsonToken.END_ARRAY) {
-                    throw invalid("The field \"prompt\" must be a string or a list of token ids.");
+                    throw invalid("The field \"prompt\" must be a text or a list of token numbers.");
                 }
             } else {
-                throw invalid("The field \"prompt\" must be a string or a list of token ids.");
+                throw invalid("The field \"prompt\" must be a text or a list of token numbers.");
             }
         }
 
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/RequestBody.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/caller/RequestBody.java
@@ -99,7 +99,7 @@
             fixed = growing.toByteArray();
             growing = null;
         } else if (filled < fixed.length) {
-            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "The body is shorter than its Content-Length.")
+            throw Refusal.notRun(RefusalReason.INVALID_REQUEST, "The body is shorter than announced.")
                     .toException();
         }
         return this;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/notice/AdvertisedBackOff.java
@@ -30,7 +30,7 @@
         /** The value is not a duration in seconds. */
         UNREADABLE,
         /** A back-off is requested. */
-        PRESENT
+        STATED
     }
 
     /**
@@ -56,6 +56,6 @@
             return UNREADABLE;
         }
         long millis = (long) Math.min(MAX_MILLIS, Math.ceil(greatest * MILLIS_PER_SECOND));
-        return millis == 0 ? ABSENT : new AdvertisedBackOff(Kind.PRESENT, millis);
+        return millis == 0 ? ABSENT : new AdvertisedBackOff(Kind.STATED, millis);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/notice/AdvertisedBackOffTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/notice/AdvertisedBackOffTest.java
@@ -31,7 +31,7 @@
             })
     void parsesSeconds(String values, long expectedMillis) {
         assertThat(AdvertisedBackOff.parse(Arrays.asList(values.split(";", -1))))
-                .isEqualTo(new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, expectedMillis));
+                .isEqualTo(new AdvertisedBackOff(AdvertisedBackOff.Kind.STATED, expectedMillis));
     }
 
     @ParameterizedTest
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/http/CallerConnection.java
@@ -106,7 +106,7 @@
         exchange = new CallerExchange(this, HttpUtil.isKeepAlive(head));
         listener = null;
         if (head.decoderResult().isFailure()) {
-            refuse(statusOf(head.decoderResult().cause()), "The request is malformed; send it as HTTP/1.1.");
+            refuse(statusOf(head.decoderResult().cause()), "The request is not proper HTTP; send it as HTTP/1.1.");
             return;
         }
         if (HttpUtil.getContentLength(head, 0L) > server.limits().bodyBytes()) {
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/Attempt.java
@@ -251,7 +251,7 @@
         if (answer.notice().drain() == AdvertisedDrain.DRAINING) {
             return FailureKind.DRAINING;
         }
-        boolean requestsBackOff = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.PRESENT;
+        boolean requestsBackOff = answer.notice().backOff().kind() == AdvertisedBackOff.Kind.STATED;
         return requestsBackOff ? FailureKind.BACK_OFF : FailureKind.FULL;
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -25,7 +25,7 @@
             return;
         }
         context.metrics().backOff(advertised.kind());
-        if (advertised.kind() == AdvertisedBackOff.Kind.PRESENT
+        if (advertised.kind() == AdvertisedBackOff.Kind.STATED
                 && table.backOffRequested(upstream, advertised.millis(), context.nowMillis())) {
             DecisionLog.Line line = requestId == null
                     ? context.log().line("back_off_began")
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/SilenceCheckTest.java
@@ -238,7 +238,7 @@
     void assumesAnEngineInBackOffIsBusyWithoutAQuery() {
         UpstreamGates gates = new UpstreamGates(context);
         SilenceCheck gated = new SilenceCheck(context, gates);
-        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.PRESENT, 3_000);
+        AdvertisedBackOff backOff = new AdvertisedBackOff(AdvertisedBackOff.Kind.STATED, 3_000);
         gates.answered(
                 ENGINE.id(), new UpstreamNotice(AdvertisedLimit.ABSENT, AdvertisedDrain.ABSENT, backOff), 0, null);
         assertThat(gated.isDead(ENGINE).block()).isFalse();
