--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/RouterSettings.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/RouterSettings.java
@@ -44,7 +44,7 @@
      * @param suspicionMillis time after which a suspected router is declared dead, in milliseconds
      * @param startWaitMillis how long a new process waits for peers that serve, in milliseconds
      * @param watchMillis maximum duration of a long poll of the platform, in milliseconds
-     * @param careMillis time between reconciliations of the engines of owned groups, in milliseconds
+     * @param supervisionMillis time between reconciliations of the engines of owned groups, in milliseconds
      */
     public record Timings(
             long probeMillis,
@@ -52,7 +52,7 @@
             long suspicionMillis,
             long startWaitMillis,
             long watchMillis,
-            long careMillis) {
+            long supervisionMillis) {
 
         /** Defaults for timings that the settings do not state. */
         public static final Timings DEFAULT = new Timings(1_000, 400, 2_000, 2_000, 25_000, 15_000);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/SettingsReader.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/settings/SettingsReader.java
@@ -114,7 +114,7 @@
                 fields.number("suspicionMillis", defaults.suspicionMillis(), 10, MAX_MILLIS),
                 fields.number("startWaitMillis", defaults.startWaitMillis(), 0, MAX_MILLIS),
                 fields.number("watchMillis", defaults.watchMillis(), 10, MAX_MILLIS),
-                fields.number("careMillis", defaults.careMillis(), 100, MAX_MILLIS));
+                fields.number("careMillis", defaults.supervisionMillis(), 100, MAX_MILLIS));
         fields.finish();
         return timings;
     }
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineCalls.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/EngineCalls.java
@@ -42,7 +42,7 @@
         if (engines.size() == 1) {
             return completion;
         }
-        long share = (assignment.item().memoryTokens() + engines.size() - 1) / engines.size();
+        long share = (assignment.queued().memoryTokens() + engines.size() - 1) / engines.size();
         return Flux.fromIterable(engines.subList(1, engines.size()))
                 .concatMap(helper -> reserve(assignment, helper, share, remainingMillis))
                 .then()
@@ -52,7 +52,7 @@
     /** Reserves memory on a helper. */
     private Mono<Void> reserve(Assignment assignment, Upstream helper, long tokens, long remainingMillis) {
         return fresh.headers(headers -> {
-                    setCommonHeaders(headers, assignment.item().command(), remainingMillis);
+                    setCommonHeaders(headers, assignment.queued().command(), remainingMillis);
                     headers.set(EngineProtocol.TOKENS, tokens);
                 })
                 .post()
@@ -66,7 +66,7 @@
 
     /** Runs the completion on the lead engine. */
     private Flux<AttemptEvent> complete(Assignment assignment, long remainingMillis) {
-        DispatchCommand command = assignment.item().command();
+        DispatchCommand command = assignment.queued().command();
         List<Upstream> engines = assignment.upstreams();
         HttpClient client = command.work().repeatable() ? pooled : fresh;
         EngineEvents decoder = new EngineEvents(command.attempt());
@@ -76,7 +76,7 @@
                     headers.set(HttpHeaderNames.ACCEPT, "text/event-stream");
                     headers.set(
                             EngineProtocol.PRIORITY,
-                            HttpUpstreamGateway.priority(assignment.item().lengthClass()));
+                            HttpUpstreamGateway.priority(assignment.queued().lengthClass()));
                     headers.set(EngineProtocol.RESUME_OFFSET, command.resumeOffset());
                     if (engines.size() > 1) {
                         headers.set(EngineProtocol.HELPERS, helperNames(engines));
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpUpstreamGateway.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/HttpUpstreamGateway.java
@@ -74,7 +74,7 @@
 
     @Override
     public Flux<AttemptEvent> run(Assignment assignment, long remainingMillis) {
-        DispatchCommand command = assignment.item().command();
+        DispatchCommand command = assignment.queued().command();
         boolean isPlain = command.work().call() != null;
         Flux<AttemptEvent> events = isPlain ? plain.run(assignment) : engines.run(assignment, remainingMillis);
         return events.onErrorMap(UpstreamFailures::of);
--- a/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/PlainCalls.java
+++ b/apricotstack-adapters/src/main/java/org/apricotstack/adapters/upstream/PlainCalls.java
@@ -44,7 +44,7 @@
 
     /** Runs an attempt. */
     Flux<AttemptEvent> run(Assignment assignment) {
-        DispatchCommand command = assignment.item().command();
+        DispatchCommand command = assignment.queued().command();
         PlainCall call = command.work().call();
         Upstream upstream = assignment.upstreams().get(0);
         HttpClient client = command.work().repeatable() ? pooled : fresh;
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/LocalDeployment.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/deployment/LocalDeployment.java
@@ -136,7 +136,7 @@
                 timings,
                 null,
                 null);
-        RouterRuntime machine = RouterRuntime.ofMachine();
+        RouterRuntime machine = RouterRuntime.system();
         Router router = new Router(
                 settings, new RouterRuntime(machine.clock(), machine.timer(), machine.startMillis() + incarnations++));
         router.start();
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualGroup.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/experiment/VirtualGroup.java
@@ -130,10 +130,11 @@
 
     /** Adds an attempt to its engines; several engines prefill equal parts of the prompt in parallel. */
     private void start(Assignment assignment) {
-        AttemptId attempt = assignment.item().command().attempt();
+        AttemptId attempt = assignment.queued().command().attempt();
         Job job = jobs.get(attempt);
         List<Upstream> chosen = assignment.upstreams();
-        int priority = policy.hasPriorities() ? assignment.item().lengthClass().ordinal() : 0;
+        int priority =
+                policy.hasPriorities() ? assignment.queued().lengthClass().ordinal() : 0;
         job.upstreams = chosen;
         int engineCount = chosen.size();
         for (Upstream upstream : chosen) {
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/ControlMeasurement.java
@@ -66,7 +66,7 @@
                         defaults.suspicionMillis(),
                         500,
                         defaults.watchMillis(),
-                        defaults.careMillis()));
+                        defaults.supervisionMillis()));
     }
 
     /** Measures the cost per router as a function of the number of routers. */
--- a/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/GossipNode.java
+++ b/apricotstack-bench/src/main/java/org/apricotstack/bench/measure/GossipNode.java
@@ -108,7 +108,7 @@
     void announceRequest() {
         EnginePlacement placement = announcePlacement();
         loop.schedule(1, () -> hub.decodeStarted(placement));
-        loop.schedule(2, () -> hub.ended(placement));
+        loop.schedule(2, () -> hub.placementEnded(placement));
     }
 
     /** Announces a placement that does not end. */
@@ -120,7 +120,7 @@
                 PROMPT_TOKENS,
                 TARGET_MILLIS,
                 TOKEN_GAP_MILLIS);
-        loop.execute(() -> hub.placed(placement, LIMIT_MILLIS));
+        loop.execute(() -> hub.placementStarted(placement, LIMIT_MILLIS));
         return placement;
     }
 
--- a/apricotstack-cli/src/main/java/org/apricotstack/cli/RouterCommand.java
+++ b/apricotstack-cli/src/main/java/org/apricotstack/cli/RouterCommand.java
@@ -23,7 +23,7 @@
 
     @Override
     int run() {
-        Router router = new Router(SettingsReader.readFile(Path.of(settings)), RouterRuntime.ofMachine());
+        Router router = new Router(SettingsReader.readFile(Path.of(settings)), RouterRuntime.system());
         router.start();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(router), "graceful-stop"));
         router.ended().block();
--- a/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Assignment.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/dispatch/Assignment.java
@@ -7,7 +7,7 @@
 /**
  * An attempt that starts now.
  *
- * @param item the attempt
+ * @param queued the attempt
  * @param upstreams the upstreams that run it together; the first one is the lead
  */
-public record Assignment(QueuedAttempt item, List<Upstream> upstreams) {}
+public record Assignment(QueuedAttempt queued, List<Upstream> upstreams) {}
--- a/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/engine/InFlightPlacements.java
@@ -87,7 +87,7 @@
      * @param nowMillis the current time
      * @return the placements in the order in which they were made
      */
-    public List<Entry> at(long nowMillis) {
+    public List<Entry> snapshot(long nowMillis) {
         List<Entry> open = new ArrayList<>(placed.size());
         for (TrackedPlacement one : placed.values()) {
             Entry remaining = one.remainingAt(nowMillis);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/EntryService.java
@@ -134,7 +134,7 @@
             active.incrementAndGet();
             return run(admitted, ticket).doFinally(end -> {
                 active.decrementAndGet();
-                limiter.end(account.id(), 0);
+                limiter.release(account.id(), 0);
             });
         } catch (RefusedException e) {
             metrics.requestRefused(e.refusal());
--- a/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/entry/RequestRun.java
@@ -67,7 +67,7 @@
 
     /** Returns the signals for the caller. */
     Flux<AttemptSignal> signals() {
-        coordinator.budget().earn(request.configuration().limits().retryShare());
+        coordinator.budget().deposit(request.configuration().limits().retryShare());
         return coordinator
                 .limits()
                 .endBy(attempt(), request.deadline(), this::timeLimitRefusal)
--- a/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/limits/AccountLimiter.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Admits or refuses a request. Each admitted request must be released with {@link #end}.
+     * Admits or refuses a request. Each admitted request must be released with {@link #release}.
      *
      * @param account the client account's configuration
      * @param preset the preset in force
@@ -65,7 +65,7 @@
      * @param account the client account
      * @param unusedTokens admitted tokens that were not used
      */
-    public void end(ClientAccountId account, long unusedTokens) {
+    public void release(ClientAccountId account, long unusedTokens) {
         AccountState state = accounts.get(account);
         synchronized (state) {
             state.running--;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/owner/GroupOwner.java
@@ -131,7 +131,7 @@
 
     /** Dispatches an attempt to its upstreams. */
     private void start(Assignment assignment) {
-        DispatchCommand command = assignment.item().command();
+        DispatchCommand command = assignment.queued().command();
         OwnedAttempt attempt = attempts.get(command.attempt());
         long remainingMillis = command.deadline().remainingMillis(clock);
         if (attempt == null || remainingMillis <= 0) {
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitAdmission.java
@@ -47,9 +47,9 @@
      * @param upstream the upstream
      * @return milliseconds; 0 if a request may be admitted, or a permit requested, now
      */
-    public long opensMillis(UpstreamId upstream) {
+    public long blockedMillis(UpstreamId upstream) {
         RateLimit limit = table.isEmpty() ? null : table.find(upstream);
-        return limit == null ? 0 : permits.opensMillis(upstream, limit, clockMillis.getAsLong());
+        return limit == null ? 0 : permits.blockedMillis(upstream, limit, clockMillis.getAsLong());
     }
 
     /**
@@ -69,7 +69,7 @@
         permits.recordDemand(upstream, now);
         if (permits.take(upstream, now)) {
             callback.accept(true);
-        } else if (permits.opensMillis(upstream, limit, now) > 0) {
+        } else if (permits.blockedMillis(upstream, limit, now) > 0) {
             callback.accept(false);
         } else {
             requestPermits(upstream, limit, callback, now);
@@ -85,7 +85,7 @@
             return;
         }
         waiting.put(upstream, new ArrayList<>(List.of(callback)));
-        client.ask(
+        client.requestPermits(
                 upstream,
                 limit,
                 permits.permitsToRequest(upstream),
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/LimitTable.java
@@ -41,7 +41,7 @@
     public LimitChange answerReceived(
             UpstreamId upstream, AdvertisedLimit advertised, long sentMillis, long nowMillis) {
         return switch (advertised.kind()) {
-            case ABSENT -> ended(upstream, sentMillis);
+            case ABSENT -> limitEnded(upstream, sentMillis);
             case UNREADABLE -> LimitChange.NONE;
             case STATED -> advertised(upstream, advertised.perSecond(), sentMillis, nowMillis);
         };
@@ -88,7 +88,7 @@
      * @param atMillis time after which it has advertised no limit; limits advertised later are kept
      * @return the change
      */
-    public LimitChange ended(UpstreamId upstream, long atMillis) {
+    public LimitChange limitEnded(UpstreamId upstream, long atMillis) {
         RateLimit before = limits.get(upstream);
         if (before == null || before.advertisedMillis() >= atMillis) {
             return LimitChange.NONE;
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitClient.java
@@ -15,7 +15,7 @@
      * @param wanted number of permits that can be used soon
      * @param callback receives the reply, at once or later; {@code null} if there is none
      */
-    void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback);
+    void requestPermits(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback);
 
     /**
      * Reports requests that were sent without a permit because they could not be withheld.
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuer.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuer.java
@@ -84,7 +84,7 @@
         }
 
         /** Returns the time after which the next router should retry, in milliseconds. */
-        private long againMillis(double perSecond, long nowMillis) {
+        private long retryAfterMillis(double perSecond, long nowMillis) {
             if (permits >= 1) {
                 return 0;
             }
@@ -111,7 +111,7 @@
         double rate = rate(perSecond, share);
         PermitBalance balance = balance(upstream, rate, nowMillis);
         int granted = balance.take(wanted);
-        return new PermitGrant(granted, balance.againMillis(rate, nowMillis));
+        return new PermitGrant(granted, balance.retryAfterMillis(rate, nowMillis));
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerSelection.java
@@ -15,7 +15,7 @@
  * @param host the issuer; {@code null} if no router is available
  * @param share share of the active routers that are connected, 0 to 1
  */
-public record PermitIssuerSelector(HostId host, double share) {
+public record PermitIssuerSelection(HostId host, double share) {
 
     /**
      * Selects the issuer.
@@ -25,8 +25,8 @@
      * @param silent number of other active routers whose heartbeats are missing
      * @return the issuer and its share
      */
-    public static PermitIssuerSelector of(UpstreamId upstream, List<HostId> connected, int silent) {
+    public static PermitIssuerSelection of(UpstreamId upstream, List<HostId> connected, int silent) {
         double share = connected.isEmpty() ? 0 : (double) connected.size() / (connected.size() + silent);
-        return new PermitIssuerSelector(Rendezvous.first(upstream.value(), connected), share);
+        return new PermitIssuerSelection(Rendezvous.first(upstream.value(), connected), share);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitIssuerService.java
@@ -17,7 +17,7 @@
 
     private final HostId own;
     private final LimitTable table;
-    private final Function<UpstreamId, PermitIssuerSelector> selector;
+    private final Function<UpstreamId, PermitIssuerSelection> selector;
     private final LongSupplier clockMillis;
     private final PermitIssuer permitIssuer = new PermitIssuer();
 
@@ -32,7 +32,7 @@
     public PermitIssuerService(
             HostId own,
             LimitTable table,
-            Function<UpstreamId, PermitIssuerSelector> selector,
+            Function<UpstreamId, PermitIssuerSelection> selector,
             LongSupplier clockMillis) {
         this.own = own;
         this.table = table;
@@ -46,7 +46,7 @@
      * @param upstream the upstream
      * @return the issuer as seen by this router
      */
-    public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
+    public PermitIssuerSelection permitIssuerOf(UpstreamId upstream) {
         return selector.apply(upstream);
     }
 
@@ -56,7 +56,7 @@
      * @param issuer the issuer as seen by this router
      * @return whether it is this router
      */
-    public boolean isThisRouter(PermitIssuerSelector issuer) {
+    public boolean isThisRouter(PermitIssuerSelection issuer) {
         return own.equals(issuer.host());
     }
 
@@ -69,7 +69,7 @@
      * @return the permits and the retry time
      */
     public PermitGrant answer(UpstreamId upstream, int wanted, int charged) {
-        PermitIssuerSelector issuer = selector.apply(upstream);
+        PermitIssuerSelection issuer = selector.apply(upstream);
         RateLimit limit = table.find(upstream);
         if (limit == null) {
             return new PermitGrant(0, 0);
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitPool.java
@@ -107,7 +107,7 @@
      * @param nowMillis the time
      * @return milliseconds; 0 if a permit is held or may be requested
      */
-    public long opensMillis(UpstreamId upstream, RateLimit limit, long nowMillis) {
+    public long blockedMillis(UpstreamId upstream, RateLimit limit, long nowMillis) {
         UpstreamPermits held = upstreamPermits.get(upstream);
         boolean closed =
                 held != null && held.isClosed(limit, nowMillis) && (held.permits == 0 || nowMillis >= held.untilMillis);
@@ -141,8 +141,9 @@
             held.permits = remaining + grant.permits();
             held.untilMillis = requestedMillis + PERMIT_VALID_MILLIS;
         }
-        long againMillis = grant.permits() > 0 ? grant.againMillis() : Math.max(MIN_CLOSED_MILLIS, grant.againMillis());
-        held.close(limit, againMillis, nowMillis);
+        long retryAfterMillis =
+                grant.permits() > 0 ? grant.retryAfterMillis() : Math.max(MIN_CLOSED_MILLIS, grant.retryAfterMillis());
+        held.close(limit, retryAfterMillis, nowMillis);
     }
 
     /**
--- a/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/ratelimit/PermitWaitPolicy.java
@@ -18,7 +18,7 @@
     /**
      * Tells whether a request may wait.
      *
-     * @param opensMillis time until a permit for an upstream may be available, in milliseconds
+     * @param blockedMillis time until a permit for an upstream may be available, in milliseconds
      * @param elapsedMillis time since the request arrived, in milliseconds
      * @param targetMillis its target latency, in milliseconds
      * @param waiting number of requests already waiting at this router
@@ -26,7 +26,7 @@
      * @return whether it may wait; otherwise it has to be refused at once
      */
     public static boolean isAllowed(
-            long opensMillis, long elapsedMillis, long targetMillis, int waiting, int closedUpstreams) {
-        return elapsedMillis + opensMillis < targetMillis / WAIT_DIVISOR && waiting < closedUpstreams;
+            long blockedMillis, long elapsedMillis, long targetMillis, int waiting, int closedUpstreams) {
+        return elapsedMillis + blockedMillis < targetMillis / WAIT_DIVISOR && waiting < closedUpstreams;
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/retry/RetryBudget.java
@@ -18,7 +18,7 @@
      *
      * @param share number of retries added to the budget
      */
-    public synchronized void earn(double share) {
+    public synchronized void deposit(double share) {
         balance = Math.min(MAX_BALANCE, balance + share);
     }
 
--- a/apricotstack-core/src/main/java/org/apricotstack/core/upstream/BackOffTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/upstream/BackOffTable.java
@@ -43,7 +43,7 @@
      * @param nowMillis the time
      * @return milliseconds; 0 if requests may be sent now
      */
-    public long opensMillis(UpstreamId upstream, long nowMillis) {
+    public long blockedMillis(UpstreamId upstream, long nowMillis) {
         BackOff backOff = backOffs.isEmpty() ? null : backOffs.get(upstream);
         return backOff == null ? 0 : Math.max(0, backOff.untilMillis() - nowMillis);
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/upstream/DrainTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/upstream/DrainTable.java
@@ -62,7 +62,7 @@
             UpstreamId upstream, AdvertisedDrain advertised, long sentMillis, long nowMillis) {
         return switch (advertised) {
             case DRAINING -> announced(upstream, nowMillis, nowMillis);
-            case SERVING -> ended(upstream, sentMillis);
+            case SERVING -> drainEnded(upstream, sentMillis);
             case ABSENT, UNREADABLE -> DrainChange.NONE;
         };
     }
@@ -103,7 +103,7 @@
      * @param atMillis time after which it has announced no drain; later announcements are kept
      * @return the change
      */
-    public DrainChange ended(UpstreamId upstream, long atMillis) {
+    public DrainChange drainEnded(UpstreamId upstream, long atMillis) {
         AnnouncedDrain before = drains.get(upstream);
         if (before == null || before.announcedMillis() >= atMillis) {
             return DrainChange.NONE;
@@ -143,7 +143,7 @@
                 notContradictedMillis.put(upstream, nowMillis);
             } else if (listed == Listing.SERVING && contradictedForMillis >= CONTRADICTED_MILLIS) {
                 ended.put(upstream, drains.get(upstream));
-                ended(upstream, nowMillis);
+                drainEnded(upstream, nowMillis);
             } else if (listed == Listing.ABSENT && contradictedForMillis >= UNLISTED_MILLIS) {
                 remove(upstream);
             }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/upstream/OutlierDetector.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/upstream/OutlierDetector.java
@@ -176,7 +176,7 @@
      * @param id the upstream
      * @param nowMillis the time
      */
-    public void ordersLost(UpstreamId id, long nowMillis) {
+    public void reservationCallLost(UpstreamId id, long nowMillis) {
         healthRecords.computeIfAbsent(id, key -> new HealthRecord()).noOrdersUntilMillis =
                 nowMillis + ORDERS_LOST_MILLIS;
     }
@@ -188,7 +188,7 @@
      * @param nowMillis the time
      * @return whether no order was lost within the last 15 seconds
      */
-    public boolean takesOrders(UpstreamId id, long nowMillis) {
+    public boolean answersReservationCalls(UpstreamId id, long nowMillis) {
         HealthRecord health = healthRecords.get(id);
         return health == null || nowMillis >= health.noOrdersUntilMillis;
     }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/upstream/RetryAfterJitter.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/upstream/RetryAfterJitter.java
@@ -22,12 +22,12 @@
     /**
      * Returns the retry-after time of a caller.
      *
-     * @param opensMillis time until an upstream accepts requests, in milliseconds
+     * @param blockedMillis time until an upstream accepts requests, in milliseconds
      * @param caller a number that differs from caller to caller
      * @return milliseconds: at least that time, and at most that time plus a quarter of it plus {@link #MIN_MILLIS}
      */
-    public static long millis(long opensMillis, long caller) {
-        long spread = MIN_MILLIS + opensMillis / SPREAD_DIVISOR;
-        return opensMillis + Long.remainderUnsigned(caller * MIX, spread + 1);
+    public static long millis(long blockedMillis, long caller) {
+        long spread = MIN_MILLIS + blockedMillis / SPREAD_DIVISOR;
+        return blockedMillis + Long.remainderUnsigned(caller * MIX, spread + 1);
     }
 }
--- a/apricotstack-core/src/main/java/org/apricotstack/core/upstream/UpstreamTable.java
+++ b/apricotstack-core/src/main/java/org/apricotstack/core/upstream/UpstreamTable.java
@@ -43,7 +43,7 @@
     private final UnconfirmedEntries unconfirmed = new UnconfirmedEntries();
     private final DrainTable drains = new DrainTable();
     private List<UpstreamEntry> removed = new ArrayList<>();
-    private List<UpstreamId> servingAgain = new ArrayList<>();
+    private List<UpstreamId> endedDrains = new ArrayList<>();
     private Map<ServiceId, List<UpstreamEntry>> usable;
     private long usableAtDrainChange;
     private long revision;
@@ -73,7 +73,7 @@
      * @param listRevision the platform's revision at the start of the list request
      * @param nowMillis the time
      */
-    public void noteHistory(long listRevision, long nowMillis) {
+    public void recordHistory(long listRevision, long nowMillis) {
         if (revision > 0 && Revisions.history(listRevision) > Revisions.history(revision)) {
             platformReturned(nowMillis);
         }
@@ -91,7 +91,7 @@
         if (listRevision < revision) {
             return false;
         }
-        noteHistory(listRevision, nowMillis);
+        recordHistory(listRevision, nowMillis);
         Set<UpstreamId> present = new HashSet<>();
         boolean changed = false;
         for (UpstreamEntry entry : listed) {
@@ -117,7 +117,7 @@
      *
      * @param knownRevision the platform's revision of the latest change known to the peer
      */
-    public void caughtUp(long knownRevision) {
+    public void changesKnownUpTo(long knownRevision) {
         revision = Math.max(revision, knownRevision);
     }
 
@@ -175,7 +175,7 @@
         if (Revisions.history(newer.revision()) > Revisions.history(previousRevision)) {
             unconfirmed.add(incarnation);
         } else if (!wasRemoved) {
-            servingAgain.add(incarnation);
+            endedDrains.add(incarnation);
         }
     }
 
@@ -276,8 +276,8 @@
      * @return the incarnations added since the last call
      */
     public List<UpstreamId> takeServingAgain() {
-        List<UpstreamId> taken = servingAgain;
-        servingAgain = new ArrayList<>();
+        List<UpstreamId> taken = endedDrains;
+        endedDrains = new ArrayList<>();
         return taken;
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/dispatch/GroupSchedulerTest.java
@@ -94,7 +94,7 @@
             }
             clock.advanceMillis(50);
             for (Assignment started : scheduler.startReady()) {
-                AttemptId attempt = id(started.item());
+                AttemptId attempt = id(started.queued());
                 running.add(attempt);
                 startedLong += longOnes.contains(attempt) ? 1 : 0;
             }
@@ -126,7 +126,7 @@
 
     private List<Assignment> startAll() {
         List<Assignment> started = scheduler.startReady();
-        started.forEach(assignment -> scheduler.firstToken(id(assignment.item())));
+        started.forEach(assignment -> scheduler.firstToken(id(assignment.queued())));
         return started;
     }
 
@@ -141,7 +141,7 @@
         QueuedAttempt shortOne = item(1_000, 60_000);
         scheduler.offer(shortOne);
         clock.advanceMillis(100);
-        assertThat(scheduler.startReady().get(0).item()).isEqualTo(shortOne);
+        assertThat(scheduler.startReady().get(0).queued()).isEqualTo(shortOne);
     }
 
     @Test
@@ -176,7 +176,7 @@
         for (int i = 0; i < 40; i++) {
             QueuedAttempt item = item(1_000, 60_000);
             scheduler.offer(item);
-            scheduler.startReady().forEach(assignment -> scheduler.failed(id(assignment.item()), true));
+            scheduler.startReady().forEach(assignment -> scheduler.failed(id(assignment.queued()), true));
         }
         assertThat(scheduler.status()).filteredOn(UpstreamStatus::ejected).hasSize(2);
         assertThat(scheduler.load().liveUpstreams()).isEqualTo(2);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/engine/InFlightPlacementsTest.java
@@ -24,7 +24,7 @@
     @Test
     void listsTheRemainingPrefillAndTime() {
         open.place(placement(1, 800), 10_000, 0);
-        InFlightPlacements.Entry left = open.at(300).get(0);
+        InFlightPlacements.Entry left = open.snapshot(300).get(0);
         assertThat(left.placement().lead().prefillMillis()).isEqualTo(500);
         assertThat(left.placement().targetLatencyMillis()).isEqualTo(1);
         assertThat(left.limitMillis()).isEqualTo(9_700);
@@ -35,8 +35,8 @@
     void listsThatAnAnswerIsBeingDecoded() {
         open.place(placement(1, 100), 10_000, 0);
         open.startDecoding(new PlacementId(ROUTER, 1));
-        assertThat(open.at(500)).singleElement().matches(InFlightPlacements.Entry::decoding);
-        assertThat(open.at(500).get(0).placement().lead().prefillMillis()).isZero();
+        assertThat(open.snapshot(500)).singleElement().matches(InFlightPlacements.Entry::decoding);
+        assertThat(open.snapshot(500).get(0).placement().lead().prefillMillis()).isZero();
     }
 
     @Test
@@ -45,8 +45,8 @@
         open.place(placement(2, 100), 400, 0);
         open.place(placement(3, 100), 10_000, 0);
         open.remove(new PlacementId(ROUTER, 1));
-        assertThat(open.at(400)).hasSize(1);
-        assertThat(open.at(400).get(0).placement().id().number()).isEqualTo(3);
+        assertThat(open.snapshot(400)).hasSize(1);
+        assertThat(open.snapshot(400).get(0).placement().id().number()).isEqualTo(3);
     }
 
     /**
@@ -60,7 +60,7 @@
         loadTable.place(known, 0, 10_000);
         open.place(known, 10_000, 0);
         open.place(placement(2, 100), 10_000, 0);
-        open.at(50).forEach(one -> loadTable.place(one.placement(), 50, one.limitMillis()));
+        open.snapshot(50).forEach(one -> loadTable.place(one.placement(), 50, one.limitMillis()));
         assertThat(loadTable.size()).isEqualTo(2);
         assertThat(loadTable.load(ENGINE).leadCount()).isEqualTo(2);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/fleet/LedgerUpstreams.java
@@ -74,7 +74,7 @@
 
     /** Runs an attempt for an owner process. */
     Flux<AttemptEvent> run(ProcessId owner, NodeScheduler node, Assignment assignment, long remainingMillis) {
-        DispatchCommand command = assignment.item().command();
+        DispatchCommand command = assignment.queued().command();
         UpstreamId lead = assignment.upstreams().get(0).id();
         return Flux.create(sink -> time.schedule(
                 () -> arrive(new Job(owner, node, command, lead, remainingMillis, sink)),
--- a/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/limits/AccountLimiterTest.java
@@ -39,7 +39,7 @@
             assertThat(limiter.admit(ACCOUNT, ORDINARY, 1)).isNull();
         }
         assertThat(limiter.admit(ACCOUNT, ORDINARY, 1).reason()).isEqualTo(RefusalReason.CONCURRENCY_LIMITED);
-        limiter.end(ACCOUNT.id(), 0);
+        limiter.release(ACCOUNT.id(), 0);
         assertThat(limiter.admit(ACCOUNT, ORDINARY, 1)).isNull();
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitAdmissionTest.java
@@ -24,7 +24,8 @@
             table,
             new PermitClient() {
                 @Override
-                public void ask(UpstreamId upstream, RateLimit limit, int permits, Consumer<PermitGrant> then) {
+                public void requestPermits(
+                        UpstreamId upstream, RateLimit limit, int permits, Consumer<PermitGrant> then) {
                     requests.add(then);
                     permitsRequested = permits;
                 }
@@ -63,7 +64,7 @@
         assertThat(requests).hasSize(1);
         requests.get(0).accept(new PermitGrant(1, 700));
         assertThat(admitted).containsExactly(true, false, false);
-        assertThat(admission.opensMillis(UPSTREAM)).isEqualTo(700);
+        assertThat(admission.blockedMillis(UPSTREAM)).isEqualTo(700);
         acquire(1);
         assertThat(admitted).endsWith(false);
         assertThat(requests).hasSize(1);
@@ -75,7 +76,7 @@
         acquire(1);
         requests.get(0).accept(new PermitGrant(0, 700));
         nowMillis += 700;
-        assertThat(admission.opensMillis(UPSTREAM)).isZero();
+        assertThat(admission.blockedMillis(UPSTREAM)).isZero();
         acquire(1);
         assertThat(requests).hasSize(2);
     }
@@ -87,7 +88,7 @@
         requests.get(0).accept(new PermitGrant(0, 5_000));
         nowMillis += 10;
         advertise(2);
-        assertThat(admission.opensMillis(UPSTREAM)).isZero();
+        assertThat(admission.blockedMillis(UPSTREAM)).isZero();
     }
 
     @Test
@@ -96,7 +97,7 @@
         acquire(2);
         requests.get(0).accept(null);
         assertThat(admitted).containsExactly(false, false);
-        assertThat(admission.opensMillis(UPSTREAM)).isPositive();
+        assertThat(admission.blockedMillis(UPSTREAM)).isPositive();
     }
 
     @Test
@@ -129,7 +130,7 @@
     void admitsWaitingRequestsWhenTheLimitEnds() {
         advertise(1);
         acquire(2);
-        table.ended(UPSTREAM, nowMillis + 1);
+        table.limitEnded(UPSTREAM, nowMillis + 1);
         requests.get(0).accept(new PermitGrant(0, 200));
         assertThat(admitted).containsExactly(true, true);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitSimulation.java
@@ -177,10 +177,10 @@
             }
         }
 
-        private PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
+        private PermitIssuerSelection permitIssuerOf(UpstreamId upstream) {
             List<HostId> connected = new ArrayList<>(List.of(host));
             peers.alive(now()).forEach(peer -> connected.add(peer.process().host()));
-            return PermitIssuerSelector.of(upstream, connected, peers.silentEntryRouterCount(now()));
+            return PermitIssuerSelection.of(upstream, connected, peers.silentEntryRouterCount(now()));
         }
 
         /** Sends a message to another router, unless the message is lost or the router is down. */
@@ -227,8 +227,8 @@
         }
 
         @Override
-        public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
-            PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        public void requestPermits(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
+            PermitIssuerSelection issuer = issuerService.permitIssuerOf(upstream);
             if (issuerService.isThisRouter(issuer)) {
                 then.accept(issuerService.answer(upstream, wanted, 0));
                 return;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/LimitTableTest.java
@@ -60,14 +60,14 @@
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 100))).isEqualTo(LimitChange.BEGAN);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(1, 90))).isEqualTo(LimitChange.NONE);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(9, 110))).isEqualTo(LimitChange.CHANGED);
-        assertThat(table.ended(UPSTREAM, 105)).isEqualTo(LimitChange.NONE);
-        assertThat(table.ended(UPSTREAM, 120)).isEqualTo(LimitChange.ENDED);
+        assertThat(table.limitEnded(UPSTREAM, 105)).isEqualTo(LimitChange.NONE);
+        assertThat(table.limitEnded(UPSTREAM, 120)).isEqualTo(LimitChange.ENDED);
     }
 
     @Test
     void ignoresReportsOlderThanTheEndOfALimit() {
         table.reportedByPeer(UPSTREAM, new RateLimit(3, 100));
-        table.ended(UPSTREAM, 120);
+        table.limitEnded(UPSTREAM, 120);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 110))).isEqualTo(LimitChange.NONE);
         assertThat(table.reportedByPeer(UPSTREAM, new RateLimit(3, 130))).isEqualTo(LimitChange.BEGAN);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerSelectorTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerSelectionTest.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PermitIssuerSelectorTest {
+class PermitIssuerSelectionTest {
 
     private static List<HostId> hosts(int number) {
         List<HostId> hosts = new ArrayList<>();
@@ -28,15 +28,15 @@
         List<HostId> reversed = new ArrayList<>(hosts);
         Collections.reverse(reversed);
         UpstreamId upstream = new UpstreamId("upstream", 1);
-        assertThat(PermitIssuerSelector.of(upstream, hosts, 0))
-                .isEqualTo(PermitIssuerSelector.of(upstream, reversed, 0));
+        assertThat(PermitIssuerSelection.of(upstream, hosts, 0))
+                .isEqualTo(PermitIssuerSelection.of(upstream, reversed, 0));
     }
 
     @Test
     void distributesTheLimitsOfManyUpstreams() {
         Set<HostId> issuers = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            issuers.add(PermitIssuerSelector.of(new UpstreamId("upstream-" + i), hosts(7), 0)
+            issuers.add(PermitIssuerSelection.of(new UpstreamId("upstream-" + i), hosts(7), 0)
                     .host());
         }
         assertThat(issuers).hasSize(7);
@@ -46,15 +46,15 @@
     void splitsTheLimitBetweenPartitions() {
         UpstreamId upstream = new UpstreamId("upstream");
         double one =
-                PermitIssuerSelector.of(upstream, hosts(7).subList(0, 3), 4).share();
+                PermitIssuerSelection.of(upstream, hosts(7).subList(0, 3), 4).share();
         double other =
-                PermitIssuerSelector.of(upstream, hosts(7).subList(3, 7), 3).share();
+                PermitIssuerSelection.of(upstream, hosts(7).subList(3, 7), 3).share();
         assertThat(one + other).isEqualTo(1);
     }
 
     @Test
     void selectsNoIssuerWithoutRouters() {
-        assertThat(PermitIssuerSelector.of(new UpstreamId("upstream"), List.of(), 3))
-                .isEqualTo(new PermitIssuerSelector(null, 0));
+        assertThat(PermitIssuerSelection.of(new UpstreamId("upstream"), List.of(), 3))
+                .isEqualTo(new PermitIssuerSelection(null, 0));
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitIssuerTest.java
@@ -75,8 +75,8 @@
 
     @Test
     void spacesTheRetriesOfRouters() {
-        long first = issuer.grant(UPSTREAM, 2, 1, 1, 0).againMillis();
-        long second = issuer.grant(UPSTREAM, 2, 1, 1, 0).againMillis();
+        long first = issuer.grant(UPSTREAM, 2, 1, 1, 0).retryAfterMillis();
+        long second = issuer.grant(UPSTREAM, 2, 1, 1, 0).retryAfterMillis();
         assertThat(first).isEqualTo(1_500);
         assertThat(second - first).isEqualTo(125);
     }
@@ -84,7 +84,7 @@
     @Test
     void boundsTheRetryTime() {
         for (int i = 0; i < 1_000; i++) {
-            assertThat(issuer.grant(UPSTREAM, 0.3, 1, 1, 0).againMillis()).isBetween(5L, 5_000L);
+            assertThat(issuer.grant(UPSTREAM, 0.3, 1, 1, 0).retryAfterMillis()).isBetween(5L, 5_000L);
         }
     }
 
--- a/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitWaitPolicyTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/ratelimit/PermitWaitPolicyTest.java
@@ -20,8 +20,8 @@
         "10, 0, 0, 0, false"
     })
     void allowsOneWaitingRequestPerClosedUpstreamForAQuarterOfItsTarget(
-            long opensMillis, long passedMillis, int waiting, int closed, boolean allowed) {
-        assertThat(PermitWaitPolicy.isAllowed(opensMillis, passedMillis, TARGET_MILLIS, waiting, closed))
+            long blockedMillis, long passedMillis, int waiting, int closed, boolean allowed) {
+        assertThat(PermitWaitPolicy.isAllowed(blockedMillis, passedMillis, TARGET_MILLIS, waiting, closed))
                 .isEqualTo(allowed);
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/retry/RetryPolicyTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/retry/RetryPolicyTest.java
@@ -42,7 +42,7 @@
         RetryBudget budget = new RetryBudget();
         int spent = 0;
         for (int i = 0; i < 1_000; i++) {
-            budget.earn(0.1);
+            budget.deposit(0.1);
             spent += budget.trySpend() ? 1 : 0;
         }
         assertThat(spent).isBetween(140, 151);
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffSimulation.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffSimulation.java
@@ -79,7 +79,7 @@
 
         private void requestArrives() {
             long now = time.nowMillis();
-            if (table.opensMillis(UPSTREAM, now) == 0) {
+            if (table.blockedMillis(UPSTREAM, now) == 0) {
                 time.at(now + 1 + random.nextInt(MAX_NETWORK_MILLIS), this::upstreamReceives);
             } else if (requestedBackOffs.stream().noneMatch(backOff -> now < backOff.readMillis() + backOff.millis())) {
                 heldBackNeedlessly++;
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/BackOffTableTest.java
@@ -15,18 +15,18 @@
     @Test
     void endsWhenTheRequestedTimeHasPassed() {
         assertThat(table.backOffRequested(UPSTREAM, 3_000, 1_000)).isTrue();
-        assertThat(table.opensMillis(UPSTREAM, 1_000)).isEqualTo(3_000);
-        assertThat(table.opensMillis(UPSTREAM, 3_999)).isEqualTo(1);
-        assertThat(table.opensMillis(UPSTREAM, 4_000)).isZero();
+        assertThat(table.blockedMillis(UPSTREAM, 1_000)).isEqualTo(3_000);
+        assertThat(table.blockedMillis(UPSTREAM, 3_999)).isEqualTo(1);
+        assertThat(table.blockedMillis(UPSTREAM, 4_000)).isZero();
     }
 
     @Test
     void keepsTheOverlappingBackOffThatEndsLast() {
         table.backOffRequested(UPSTREAM, 3_000, 1_000);
         assertThat(table.backOffRequested(UPSTREAM, 500, 1_200)).isFalse();
-        assertThat(table.opensMillis(UPSTREAM, 1_200)).isEqualTo(2_800);
+        assertThat(table.blockedMillis(UPSTREAM, 1_200)).isEqualTo(2_800);
         assertThat(table.backOffRequested(UPSTREAM, 5_000, 1_300)).isFalse();
-        assertThat(table.opensMillis(UPSTREAM, 1_300)).isEqualTo(5_000);
+        assertThat(table.blockedMillis(UPSTREAM, 1_300)).isEqualTo(5_000);
     }
 
     @Test
@@ -41,6 +41,6 @@
     @Test
     void appliesToOneIncarnationOnly() {
         table.backOffRequested(UPSTREAM, 3_000, 1_000);
-        assertThat(table.opensMillis(NEXT_INCARNATION, 1_000)).isZero();
+        assertThat(table.blockedMillis(NEXT_INCARNATION, 1_000)).isZero();
     }
 }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/DrainTableTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/DrainTableTest.java
@@ -63,7 +63,7 @@
     @Test
     void acceptsADrainReportedByAPeerUnlessItIsOlderThanItsEnd() {
         assertThat(table.reportedByPeer(UPSTREAM, 1_000, 1_010)).isEqualTo(DrainChange.BEGAN);
-        assertThat(table.ended(UPSTREAM, 1_500)).isEqualTo(DrainChange.ENDED);
+        assertThat(table.drainEnded(UPSTREAM, 1_500)).isEqualTo(DrainChange.ENDED);
         assertThat(table.reportedByPeer(UPSTREAM, 1_400, 1_600)).isEqualTo(DrainChange.NONE);
         assertThat(table.reportedByPeer(UPSTREAM, 1_501, 1_600)).isEqualTo(DrainChange.BEGAN);
     }
--- a/apricotstack-core/src/test/java/org/apricotstack/core/upstream/OutlierDetectorTest.java
+++ b/apricotstack-core/src/test/java/org/apricotstack/core/upstream/OutlierDetectorTest.java
@@ -77,10 +77,10 @@
 
     @Test
     void sendsNoOrdersForAWhileAfterOneWasLost() {
-        assertThat(detector.takesOrders(ID, 0)).isTrue();
-        detector.ordersLost(ID, 0);
-        assertThat(detector.takesOrders(ID, 10_000)).isFalse();
-        assertThat(detector.takesOrders(ID, 20_000)).isTrue();
+        assertThat(detector.answersReservationCalls(ID, 0)).isTrue();
+        detector.reservationCallLost(ID, 0);
+        assertThat(detector.answersReservationCalls(ID, 10_000)).isFalse();
+        assertThat(detector.answersReservationCalls(ID, 20_000)).isTrue();
         assertThat(detector.failureProbability(ID, 0)).isZero();
     }
 
--- a/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/Router.java
@@ -32,7 +32,7 @@
  * <p>Example:
  *
  * <pre>{@code
- * try (Router router = new Router(settings, RouterRuntime.ofMachine())) {
+ * try (Router router = new Router(settings, RouterRuntime.system())) {
  *     router.start();
  *     router.ended().block();
  * }
@@ -229,7 +229,7 @@
      * budget for control traffic.
      */
     private void startReconciliation() {
-        Duration interval = Duration.ofMillis(parts.settings.timings().careMillis());
+        Duration interval = Duration.ofMillis(parts.settings.timings().supervisionMillis());
         Flux<Long> periodic = Flux.interval(interval, parts.runtime.timer());
         Flux<Long> changes = Flux.interval(RECONCILE_DEBOUNCE, parts.runtime.timer())
                 .onBackpressureDrop()
--- a/apricotstack-router/src/main/java/org/apricotstack/router/RouterRuntime.java
+++ b/apricotstack-router/src/main/java/org/apricotstack/router/RouterRuntime.java
@@ -18,7 +18,7 @@
      *
      * @return the runtime of a process
      */
-    public static RouterRuntime ofMachine() {
+    public static RouterRuntime system() {
         return new RouterRuntime(System::nanoTime, Schedulers.parallel(), System.currentTimeMillis());
     }
 }
--- a/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
+++ b/apricotstack-router/src/test/java/org/apricotstack/router/PeerTlsTest.java
@@ -69,7 +69,7 @@
                 Timings.DEFAULT,
                 null,
                 files("fleet", "fleet"));
-        router = new Router(settings, RouterRuntime.ofMachine());
+        router = new Router(settings, RouterRuntime.system());
         router.start();
     }
 
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DocumentExchange.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DocumentExchange.java
@@ -114,6 +114,6 @@
         }
         needsSnapshot = false;
         state.applyUpstreamSnapshot(upstreams, reply.getUpstreamsRevision(), source, loop.nowMillis());
-        state.caughtUp(reply.getUpstreamsRevision());
+        state.changesKnownUpTo(reply.getUpstreamsRevision());
     }
 }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DrainChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/DrainChannel.java
@@ -110,8 +110,9 @@
         }
         long now = loop.nowMillis();
         long atMillis = now - Math.max(0, notice.getAgoMillis());
-        DrainChange change =
-                notice.getEnded() ? table.ended(upstream, atMillis) : table.reportedByPeer(upstream, atMillis, now);
+        DrainChange change = notice.getEnded()
+                ? table.drainEnded(upstream, atMillis)
+                : table.reportedByPeer(upstream, atMillis, now);
         if (change != DrainChange.NONE) {
             log.line(change == DrainChange.BEGAN ? "drain_announced" : "drain_ended")
                     .put("upstream", upstream.value())
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/FleetLimitPeers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/FleetLimitPeers.java
@@ -10,7 +10,7 @@
 import org.apricotstack.core.id.UpstreamId;
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
-import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.ratelimit.PermitIssuerSelection;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.publication.PublishedState;
 import org.apricotstack.wire.news.NewsFrame;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
+    public PermitIssuerSelection permitIssuerOf(UpstreamId upstream) {
         long now = loop.nowMillis();
         List<HostId> active = new ArrayList<>();
         List<HostId> others = new ArrayList<>();
@@ -70,10 +70,10 @@
         if (ready.getAsBoolean()) {
             (heartbeats.takesCallers() ? active : others).add(own);
         }
-        PermitIssuerSelector selected = PermitIssuerSelector.of(
+        PermitIssuerSelection selected = PermitIssuerSelection.of(
                 upstream, active.isEmpty() ? others : active, peers.silentEntryRouterCount(now));
         boolean incomplete = own.equals(selected.host()) && !start.hasPeerPlacements(knownRouters.getAsInt(), now);
-        return incomplete ? new PermitIssuerSelector(null, selected.share()) : selected;
+        return incomplete ? new PermitIssuerSelection(null, selected.share()) : selected;
     }
 
     @Override
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHub.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/GossipHub.java
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public void placed(EnginePlacement placement, long limitMillis) {
+    public void placementStarted(EnginePlacement placement, long limitMillis) {
         requests.count();
         inFlight.place(placement, limitMillis, loop.nowMillis());
         heartbeats.onPlacement();
@@ -271,13 +271,13 @@
     }
 
     @Override
-    public void ended(EnginePlacement placement) {
+    public void placementEnded(EnginePlacement placement) {
         inFlight.remove(placement.id());
         pendingFrame().addEnded(placement.id().number());
     }
 
     @Override
-    public void avoided(UpstreamId upstream, long avoidMillis) {
+    public void upstreamAvoided(UpstreamId upstream, long avoidMillis) {
         pendingFrame().addAvoided(GossipMessages.avoided(upstream, avoidMillis));
     }
 
@@ -294,7 +294,7 @@
     /** Encodes all in-flight placements and all state of upstreams, for a router that missed updates. */
     private NewsFrame fullState() {
         NewsFrame.Builder frame = NewsFrame.newBuilder().setWhole(true);
-        for (InFlightPlacements.Entry entry : inFlight.at(loop.nowMillis())) {
+        for (InFlightPlacements.Entry entry : inFlight.snapshot(loop.nowMillis())) {
             frame.addPlaced(GossipMessages.placed(entry.placement(), entry.limitMillis()));
             if (entry.decoding()) {
                 frame.addWriting(entry.placement().id().number());
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
@@ -15,7 +15,7 @@
 import org.apricotstack.core.ratelimit.LimitChange;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.PermitGrant;
-import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.ratelimit.PermitIssuerSelection;
 import org.apricotstack.core.ratelimit.PermitIssuerService;
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.serving.http.ServingLoop;
@@ -175,13 +175,13 @@
 
     @Override
     public String permitIssuerOf(UpstreamId upstream) {
-        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        PermitIssuerSelection issuer = issuerService.permitIssuerOf(upstream);
         return issuer.host() == null ? null : issuer.host().value();
     }
 
     @Override
-    public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback) {
-        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+    public void requestPermits(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> callback) {
+        PermitIssuerSelection issuer = issuerService.permitIssuerOf(upstream);
         if (issuerService.isThisRouter(issuer)) {
             callback.accept(issuerService.answer(upstream, wanted, 0));
             return;
@@ -199,7 +199,7 @@
 
     @Override
     public void charge(UpstreamId upstream, RateLimit limit, int requests) {
-        PermitIssuerSelector issuer = issuerService.permitIssuerOf(upstream);
+        PermitIssuerSelection issuer = issuerService.permitIssuerOf(upstream);
         if (issuerService.isThisRouter(issuer)) {
             issuerService.answer(upstream, 0, requests);
         } else {
@@ -219,7 +219,7 @@
     }
 
     /** Sends a permit request to a permit issuer, if it can be reached. */
-    private boolean send(PermitIssuerSelector issuer, PermitRequest request) {
+    private boolean send(PermitIssuerSelection issuer, PermitRequest request) {
         Address address = issuer.host() == null ? null : peers.addressOf(issuer.host());
         if (address == null || !maySend(request)) {
             return false;
@@ -260,7 +260,7 @@
         long now = loop.nowMillis();
         RateLimit limit = LimitMessages.limit(reported, now);
         LimitChange change = reported.getEnded()
-                ? table.ended(upstream, limit.advertisedMillis())
+                ? table.limitEnded(upstream, limit.advertisedMillis())
                 : table.reportedByPeer(upstream, limit);
         if (change != LimitChange.NONE) {
             log.line("limit_" + change.code())
@@ -285,7 +285,7 @@
         PermitReply.Builder reply = PermitReply.newBuilder()
                 .setNumber(request.getNumber())
                 .setGranted(grant.permits())
-                .setAgainMillis(grant.againMillis());
+                .setAgainMillis(grant.retryAfterMillis());
         long now = loop.nowMillis();
         RateLimit known = table.find(upstream);
         Long endMillis = table.endMillis(upstream);
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStreams.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/OutboundGossipStreams.java
@@ -42,7 +42,7 @@
         return reported.put(peer.peerAddress(), peer) == null;
     }
 
-    /** Returns what the router at an address reported last; {@code null} if it was never heard from. */
+    /** Returns what the router at an address reported last; {@code null} if nothing was received from it. */
     Peer lastReported(Address address) {
         return reported.get(address);
     }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/publication/PublishedState.java
@@ -321,7 +321,7 @@
                 entries.add(listed);
             }
         }
-        upstreams.noteHistory(revision, nowMillis);
+        upstreams.recordHistory(revision, nowMillis);
         changed.forEach(document -> apply(document, source));
         for (UpstreamId name : included) {
             UpstreamEntry listed = upstreams.listed(name);
@@ -330,7 +330,7 @@
             }
         }
         upstreams.replaceAll(entries, revision, nowMillis);
-        upstreams.caughtUp(revision);
+        upstreams.changesKnownUpTo(revision);
         handleRemovedUpstreams(source);
         return true;
     }
@@ -349,8 +349,8 @@
      *
      * @param revision the platform's revision of the last change that a peer knew
      */
-    public void caughtUp(long revision) {
-        upstreams.caughtUp(revision);
+    public void changesKnownUpTo(long revision) {
+        upstreams.changesKnownUpTo(revision);
     }
 
     /**
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/BackOffGate.java
@@ -40,7 +40,7 @@
 
     /** Returns the time until requests may be sent to an upstream, in milliseconds; 0 if they may be sent now. */
     long blockedMillis(UpstreamId upstream) {
-        return table.isEmpty() ? 0 : table.opensMillis(upstream, context.nowMillis());
+        return table.isEmpty() ? 0 : table.blockedMillis(upstream, context.nowMillis());
     }
 
     /** Returns whether no back-off is in force. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/DrainGate.java
@@ -49,7 +49,7 @@
     /** Ends the drain of an upstream that the platform lists as serving again after it listed it as draining. */
     void listedAsServing(UpstreamId upstream) {
         AnnouncedDrain before = table().find(upstream);
-        if (table().ended(upstream, context.nowMillis()) == DrainChange.ENDED) {
+        if (table().drainEnded(upstream, context.nowMillis()) == DrainChange.ENDED) {
             ended(upstream, before, "platform", null);
             context.placementGossip().drainChanged(upstream);
         }
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/LimitGate.java
@@ -93,7 +93,7 @@
      * be requested.
      */
     long blockedMillis(UpstreamId upstream) {
-        return admission.opensMillis(upstream);
+        return admission.blockedMillis(upstream);
     }
 
     /** Acquires a permit for one request to an upstream; the consumer receives whether it was granted. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementGossip.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/PlacementGossip.java
@@ -12,7 +12,7 @@
      * @param placement the placement
      * @param limitMillis longest time that the request may take, in milliseconds
      */
-    void placed(EnginePlacement placement, long limitMillis);
+    void placementStarted(EnginePlacement placement, long limitMillis);
 
     /**
      * Reports that the prefill of a placement has ended and decoding has started.
@@ -26,7 +26,7 @@
      *
      * @param placement the placement
      */
-    void ended(EnginePlacement placement);
+    void placementEnded(EnginePlacement placement);
 
     /**
      * Returns whether the other routers have reported their placements to this one.
@@ -41,7 +41,7 @@
      * @param upstream the upstream
      * @param avoidMillis time for which it is avoided, in milliseconds
      */
-    void avoided(UpstreamId upstream, long avoidMillis);
+    void upstreamAvoided(UpstreamId upstream, long avoidMillis);
 
     /**
      * Reports that an answer announced the drain of an upstream or its end.
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/ReservedHelpers.java
@@ -115,7 +115,7 @@
     /** Records an unanswered call, which may be executed late. */
     private void unanswered(UpstreamEntry engine) {
         lastUnansweredMillis = context.nowMillis();
-        context.outlierDetector().ordersLost(engine.id(), lastUnansweredMillis);
+        context.outlierDetector().reservationCallLost(engine.id(), lastUnansweredMillis);
     }
 
     /** Releases all reservations. */
--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/run/UpstreamChooser.java
@@ -90,7 +90,7 @@
                         entry.id(),
                         context.loadTable().load(entry.id()),
                         context.outlierDetector().failureProbability(entry.id(), now),
-                        context.outlierDetector().takesOrders(entry.id(), now),
+                        context.outlierDetector().answersReservationCalls(entry.id(), now),
                         !gates.limits().isLimited(entry.id())));
             }
         }
@@ -193,7 +193,7 @@
         context.outlierDetector().trialStarted(choice.upstream().id(), context.nowMillis());
         if (choice.placement() != null) {
             context.loadTable().place(choice.placement(), context.nowMillis(), limitMillis);
-            context.placementGossip().placed(choice.placement(), limitMillis);
+            context.placementGossip().placementStarted(choice.placement(), limitMillis);
         }
     }
 
@@ -223,7 +223,7 @@
         if (avoid == 0) {
             return;
         }
-        context.placementGossip().avoided(responsible, avoid);
+        context.placementGossip().upstreamAvoided(responsible, avoid);
         context.log()
                 .line("avoided")
                 .put("upstream", responsible.value())
@@ -237,7 +237,7 @@
         inFlight.computeIfPresent(choice.upstream().id(), (id, count) -> count > 1 ? count - 1 : null);
         if (choice.placement() != null) {
             context.loadTable().remove(choice.placement().id(), context.nowMillis());
-            context.placementGossip().ended(choice.placement());
+            context.placementGossip().placementEnded(choice.placement());
         }
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/FleetLimitPeersTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/FleetLimitPeersTest.java
@@ -11,7 +11,7 @@
 import org.apricotstack.core.peer.Peer;
 import org.apricotstack.core.peer.PeerTable;
 import org.apricotstack.core.peer.RequestRate;
-import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.ratelimit.PermitIssuerSelection;
 import org.apricotstack.core.upstream.OutlierDetector;
 import org.apricotstack.core.upstream.UpstreamTable;
 import org.apricotstack.serving.http.ServingLoop;
@@ -85,7 +85,7 @@
     private UpstreamId upstreamIssuedBy(HostId host) {
         for (int i = 0; ; i++) {
             UpstreamId upstream = new UpstreamId("upstream-" + i);
-            if (PermitIssuerSelector.of(upstream, List.of(OWN, PEER), 0).host().equals(host)) {
+            if (PermitIssuerSelection.of(upstream, List.of(OWN, PEER), 0).host().equals(host)) {
                 return upstream;
             }
         }
@@ -93,7 +93,7 @@
 
     @Test
     void selectsThisRouterIfItIsAlone() {
-        assertThat(fleet.permitIssuerOf(UPSTREAM)).isEqualTo(new PermitIssuerSelector(OWN, 1));
+        assertThat(fleet.permitIssuerOf(UPSTREAM)).isEqualTo(new PermitIssuerSelection(OWN, 1));
     }
 
     @Test
@@ -109,8 +109,8 @@
         addPeer(PEER, true, true);
         knownRouters = 2;
         start.placementsReportedBy(PEER);
-        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelector(PEER, 1));
-        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(OWN))).isEqualTo(new PermitIssuerSelector(OWN, 1));
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelection(PEER, 1));
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(OWN))).isEqualTo(new PermitIssuerSelection(OWN, 1));
     }
 
     @Test
@@ -130,6 +130,6 @@
     void issuesHalfOfTheLimitIfHalfOfTheRoutersAreSilent() {
         addPeer(PEER, true, true);
         nowMillis = 10_000;
-        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelector(OWN, 0.5));
+        assertThat(fleet.permitIssuerOf(upstreamIssuedBy(PEER))).isEqualTo(new PermitIssuerSelection(OWN, 0.5));
     }
 }
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/LimitChannelTest.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/gossip/LimitChannelTest.java
@@ -10,7 +10,7 @@
 import org.apricotstack.core.ratelimit.LimitChange;
 import org.apricotstack.core.ratelimit.LimitTable;
 import org.apricotstack.core.ratelimit.PermitGrant;
-import org.apricotstack.core.ratelimit.PermitIssuerSelector;
+import org.apricotstack.core.ratelimit.PermitIssuerSelection;
 import org.apricotstack.core.ratelimit.RateLimit;
 import org.apricotstack.serving.http.ServingLoop;
 import org.apricotstack.serving.observe.DecisionLog;
@@ -61,8 +61,8 @@
         }
 
         @Override
-        public PermitIssuerSelector permitIssuerOf(UpstreamId upstream) {
-            return new PermitIssuerSelector(selectedIssuer, 1);
+        public PermitIssuerSelection permitIssuerOf(UpstreamId upstream) {
+            return new PermitIssuerSelection(selectedIssuer, 1);
         }
 
         @Override
@@ -122,7 +122,7 @@
 
     private List<PermitGrant> request(RateLimit limit, int wanted) {
         List<PermitGrant> answers = new ArrayList<>();
-        onLoop(() -> requester.channel.ask(UPSTREAM, limit, wanted, answers::add));
+        onLoop(() -> requester.channel.requestPermits(UPSTREAM, limit, wanted, answers::add));
         List.copyOf(requester.sent).forEach(frame -> onLoop(() -> issuer.channel.receive(frame, REQUESTER)));
         requester.sent.clear();
         List.copyOf(issuer.sent).forEach(frame -> onLoop(() -> requester.channel.receive(frame, ISSUER)));
@@ -158,7 +158,7 @@
         request(old, 1);
         assertThat(requester.table.find(UPSTREAM).perSecond()).isEqualTo(3);
         nowMillis += 10;
-        issuer.table.ended(UPSTREAM, nowMillis);
+        issuer.table.limitEnded(UPSTREAM, nowMillis);
         request(requester.table.find(UPSTREAM), 1);
         assertThat(requester.table.isEmpty()).isTrue();
     }
@@ -202,7 +202,7 @@
             LimitChange change = CHANGES.get(i / 100 % CHANGES.size());
             RateLimit limit = advertise(requester, upstream, 1 + i % 7);
             onLoop(() -> requester.channel.limitChanged(upstream, change, limit));
-            onLoop(() -> requester.channel.ask(upstream, limit, 1, grant -> {}));
+            onLoop(() -> requester.channel.requestPermits(upstream, limit, 1, grant -> {}));
             bytes += requester.takeBytes();
         }
         assertThat(bytes).isLessThan(CONTROL_BYTES_PER_SECOND * SECONDS);
@@ -216,7 +216,7 @@
             nowMillis += 5;
             UpstreamId upstream = new UpstreamId("upstream-" + i % 100, 7);
             RateLimit limit = advertise(requester, upstream, 1 + i % 7);
-            onLoop(() -> requester.channel.ask(upstream, limit, 1, grant -> {}));
+            onLoop(() -> requester.channel.requestPermits(upstream, limit, 1, grant -> {}));
             requester.sent.forEach(frame -> onLoop(() -> issuer.channel.receive(frame, REQUESTER)));
             requester.sent.clear();
             bytes += issuer.takeBytes();
--- a/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitGossip.java
+++ b/apricotstack-serving/src/test/java/org/apricotstack/serving/run/DenyingLimitGossip.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void ask(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
+    public void requestPermits(UpstreamId upstream, RateLimit limit, int wanted, Consumer<PermitGrant> then) {
         permitRequests++;
         then.accept(new PermitGrant(0, RETRY_MILLIS));
     }
