--- a/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
+++ b/apricotstack-serving/src/main/java/org/apricotstack/serving/gossip/LimitChannel.java
@@ -71,7 +71,7 @@
     private final LimitPeers peers;
     private final DecisionLog log;
     private final Supplier<NewsFrame.Builder> frameBuilder;
-    private final TokenBucket told;
+    private final TokenBucket reportBudget;
     private final TokenBucket permitBudget;
     private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
     private final Map<UpstreamId, Long> lastReportedMillis = new HashMap<>();
@@ -108,7 +108,7 @@
         this.log = log;
         this.frameBuilder = frameBuilder;
         this.issuerService = new PermitIssuerService(peers.own(), table, peers::permitIssuerOf, loop::nowMillis);
-        this.told = new TokenBucket(MAX_REPORT_BYTES, nowNanos());
+        this.reportBudget = new TokenBucket(MAX_REPORT_BYTES, nowNanos());
         this.permitBudget = new TokenBucket(MAX_PERMIT_BYTES, nowNanos());
     }
 
@@ -120,7 +120,7 @@
     /** Returns whether the budget allows a report of limits to all routers, and counts one that it does not allow. */
     private boolean mayReport(MessageLite message) {
         double bytes = (double) message.getSerializedSize() * Math.max(1, peers.others());
-        return countIfDropped(told.take(bytes, REPORT_BYTES_PER_SECOND, MAX_REPORT_BYTES, nowNanos()) == 0);
+        return countIfDropped(reportBudget.take(bytes, REPORT_BYTES_PER_SECOND, MAX_REPORT_BYTES, nowNanos()) == 0);
     }
 
     /** Returns whether the budget allows a permit request or reply, and counts one that it does not allow. */
